--- a/apps/lycheed/HostRegistration.cpp
+++ b/apps/lycheed/HostRegistration.cpp
@@ -23,7 +23,7 @@
     Json::Value Content;
     Content["address"] = Self_.Address_;
     Content["region"] = Self_.Region_.name();
-    Content["start"] = Json::UInt64(Self_.Start_);
+    Content["start"] = Json::UInt64(Self_.Incarnation_);
     base::Error Last;
     const bool Written = co_await Store_.write(
         platform::HostKind, Self_.Host_.name(), Content, Last);
--- a/apps/lycheed/HostRegistration.h
+++ b/apps/lycheed/HostRegistration.h
@@ -10,11 +10,11 @@
 
 /// This host's entry in the store, by which other hosts find it where the
 /// seeds they know are gone. Of the control loop's thread.
-/// \see members::HostBook
+/// \see members::HostTable
 class HostRegistration {
 public:
   /// \param Store  outlives this.
-  HostRegistration(live::ObjectSource &Store, members::HostCard Self)
+  HostRegistration(live::ObjectSource &Store, members::HostDescriptor Self)
       : Store_(Store), Self_(std::move(Self)) {}
   HostRegistration(const HostRegistration &) = delete;
   HostRegistration &operator=(const HostRegistration &) = delete;
@@ -26,7 +26,7 @@
 
 private:
   live::ObjectSource &Store_;
-  const members::HostCard Self_;
+  const members::HostDescriptor Self_;
 };
 
 } // namespace lychee::daemon
--- a/apps/lycheed/LiveDaemon.cpp
+++ b/apps/lycheed/LiveDaemon.cpp
@@ -67,8 +67,8 @@
   return Made;
 }
 
-members::HostCard cardOf(const settings::DaemonSettings &Settings,
-                         const settings::LiveSettings &Live) {
+members::HostDescriptor cardOf(const settings::DaemonSettings &Settings,
+                               const settings::LiveSettings &Live) {
   return {Settings.Host_,           Settings.Region_,
           Settings.Zone_,           Live.Heartbeats_.Address_,
           Settings.Callers_.text(), drawIncarnation()};
@@ -131,8 +131,8 @@
       Hosts_(cardOf(Settings, Live)),
       Steering_(dispatchSettings(Settings, Bounds),
                 {[this](std::uint64_t Matter) {
-                   return Hosts_.isPickedFor(Matter,
-                                             SystemClock::monotonicNow());
+                   return Hosts_.isElectedFor(Matter,
+                                              SystemClock::monotonicNow());
                  },
                  [this](const std::string &Holder, std::uint64_t Ticket,
                         const base::CustomerId &Customer) {
@@ -146,7 +146,7 @@
       Entry_({Hosts_, Intents_, [this] { return Feed_.knowsAll(); },
               [this] {
                 asio::post(Control_, [this] {
-                  Heartbeats_.sayNow(SystemClock::monotonicNow());
+                  Heartbeats_.sendNow(SystemClock::monotonicNow());
                 });
                 spawnLogged(Control_, Registration_.leave(), "withdraw-failed");
               }}),
@@ -157,25 +157,26 @@
           {Steering_, Intents_, Intents_, Entry_, *Claims_, Reporter_, *Polls_},
           drawSeed()),
       Gauges_(Metrics_),
-      Role_(Hosts_.self(), relaying::freshnessPaceFor(Bounds.ChangeInForce_)),
+      Role_(Hosts_.self(),
+            relaying::freshnessTimeoutsFor(Bounds.ChangeInForce_)),
       Feed_({Objects_, Intents_, Steering_, Gateway_, Hosts_, Role_, Gauges_,
              Live_.Zones_, Bounds.TargetDrain_,
-             relaying::freshnessPaceFor(Bounds.ChangeInForce_)},
+             relaying::freshnessTimeoutsFor(Bounds.ChangeInForce_)},
             drawSeed()),
       Relays_(Control_.get_executor(), Role_, Live.Relays_.Port_,
               {[this](base::TimePoint Now) { return Feed_.question(Now); },
-               [this](const relaying::RelayQuestion &Asked,
+               [this](const relaying::RelayRequest &Asked,
                       base::TimePoint Now) { return Feed_.answer(Asked, Now); },
-               [this](const relaying::RelayAnswer &Told,
+               [this](const relaying::RelayResponse &Told,
                       base::TimePoint AskedAt, base::TimePoint Now) {
-                 Gauges_.countRelayAnswer(Told.Sound_);
+                 Gauges_.countRelayAnswer(Told.IsSynced_);
                  Feed_.take(Told, AskedAt, Now);
                },
                [this](const std::string &Address, const base::Error &Why) {
                  noteRelayTrouble(Address, Why);
                }}),
       Reports_({Entry_, Hosts_, Role_, Steering_}),
-      Tokens_(Control_.get_executor(), Live.Relays_, Hosts_.self().Start_,
+      Tokens_(Control_.get_executor(), Live.Relays_, Hosts_.self().Incarnation_,
               {[this](const base::CustomerId &Customer, base::TimePoint Now) {
                  const auto Wait = Steering_.giveToken(Customer, Now);
                  Gauges_.countTokenGiven(!Wait);
@@ -199,8 +200,8 @@
       News_(Control_.get_executor(), Hosts_, Live.Heartbeats_,
             {[this](base::TimePoint Now) { return Reports_.summary(Now); },
              [this] { return Entry_.leaving(); },
-             [this](const members::RegionNews &Said, base::TimePoint Now) {
-               Steering_.mergeEvidence(Said.Told_.Evidence_, Now);
+             [this](const members::RegionUpdate &Said, base::TimePoint Now) {
+               Steering_.mergeEvidence(Said.Summary_.Evidence_, Now);
              }}) {
   Hosts_.addSeeds(Live_.SeedAddresses_);
 }
@@ -219,14 +220,14 @@
     return;
   // Callers of other regions may be sent there, too.
   if (Said.Leaving_)
-    News_.sayNow(Now);
-  else if (Said.HasCard_)
-    Heartbeats_.answer(Said.From_.Address_, Now);
+    News_.sendNow(Now);
+  else if (Said.HasDescriptor_)
+    Heartbeats_.sendFullTo(Said.Sender_.Address_, Now);
   reporting::logLine(LogLevel::Info,
                      KeyValueLine()
                          .add("event", "host-heard")
-                         .add("host", Said.From_.Host_.name())
-                         .add("start", Said.From_.Start_)
+                         .add("host", Said.Sender_.Host_.name())
+                         .add("start", Said.Sender_.Incarnation_)
                          .add("ready", Said.Ready_ ? 1 : 0)
                          .add("leaving", Said.Leaving_ ? 1 : 0));
 }
@@ -245,7 +246,7 @@
   Wanted.Region_ = base::RegionId(Query->Region_);
   Wanted.Zone_ = base::ZoneId(Query->Zone_);
   Wanted.Name_ = Query->Name_;
-  Wanted.Most_ = platform::MostAddresses;
+  Wanted.MaxEntries_ = platform::MostAddresses;
   co_return platform::encodeResolve(
       Entry_.resolve(std::move(Wanted), SystemClock::monotonicNow()),
       LiveEntry::TimeToLive);
@@ -301,7 +302,7 @@
   spawnLogged(Control_, News_.sendAll(), "region-news-failed");
   spawnLogged(Control_, News_.receiveAll(), "region-news-failed");
   spawnLogged(Control_, Tokens_.receiveAll(), "tokens-failed");
-  spawnLogged(Control_, Relays_.askAll(), "relays-failed");
+  spawnLogged(Control_, Relays_.pollAll(), "relays-failed");
   spawnLogged(Control_, keepTime(), "time-failed");
   spawnLogged(Control_, Registration_.enter(), "register-failed");
   return true;
@@ -317,7 +318,7 @@
     takeRole(Others, Now);
     noteLosses(Others, Now);
     setGauges(Now);
-    const members::OwnState Own = Entry_.ownState(Now);
+    const members::LocalHostState Own = Entry_.ownState(Now);
     Steering_.setFleet({Others, Hosts_.regions(Now), Hosts_.self(),
                         Own.Ready_ && !Own.Leaving_, Hosts_.shareHolders(Now),
                         regionCount(Live_), Hosts_.isCutOff(Now)},
@@ -334,7 +335,7 @@
                           base::TimePoint Now) {
   tellTrouble(Now);
   Role_.update(Others, Entry_.ownState(Now).Leaving_, Now);
-  const bool Asking = Role_.mustAsk(Now);
+  const bool Asking = Role_.mustReadStore(Now);
   if (std::exchange(Asking_, Asking) == Asking)
     return;
   const auto Age = Intents_.age(Now);
@@ -350,8 +351,8 @@
 /// longer can, and not with the next heartbeat.
 void LiveDaemon::tellTrouble(base::TimePoint Now) {
   const bool Troubled = Role_.isInTrouble(Now);
-  if (!std::exchange(Troubled_, Troubled) && Troubled && Role_.isChosen())
-    Heartbeats_.sayNow(Now);
+  if (!std::exchange(Troubled_, Troubled) && Troubled && Role_.isReader())
+    Heartbeats_.sendNow(Now);
 }
 
 void LiveDaemon::noteRelayTrouble(const std::string &Address,
@@ -376,7 +377,7 @@
   std::set<base::HostId> Alive;
   for (const members::HostView &Each : Others)
     if (Each.Alive_)
-      Alive.insert(Each.Card_.Host_);
+      Alive.insert(Each.Descriptor_.Host_);
   for (const base::HostId &Each : Heard_)
     if (!Alive.contains(Each))
       reporting::logLine(
@@ -451,7 +452,7 @@
                      KeyValueLine()
                          .add("event", "serving")
                          .add("host", Settings_.Host_.name())
-                         .add("start", Hosts_.self().Start_)
+                         .add("start", Hosts_.self().Incarnation_)
                          .add("callers", Settings_.Callers_.text()));
   const gateway::StopSummary Summary = Gateway_.waitUntilStopped();
   tellStop(Summary);
--- a/apps/lycheed/LiveDaemon.h
+++ b/apps/lycheed/LiveDaemon.h
@@ -3,7 +3,7 @@
 
 #include "dispatch/DispatchSteering.h"
 #include "gateway/Gateway.h"
-#include "live/IntentBook.h"
+#include "live/ActiveIntent.h"
 #include "lycheed/DecisionReporter.h"
 #include "lycheed/HostRegistration.h"
 #include "lycheed/LiveEntry.h"
@@ -86,8 +86,8 @@
   reporting::DecisionLog Decisions_;
   DecisionReporter Reporter_;
   platform::ObjectClient Objects_;
-  live::IntentBook Intents_;
-  members::HostBook Hosts_;
+  live::ActiveIntent Intents_;
+  members::HostTable Hosts_;
   dispatch::DispatchSteering Steering_;
   HostRegistration Registration_;
   LiveEntry Entry_;
--- a/apps/lycheed/LiveEntry.cpp
+++ b/apps/lycheed/LiveEntry.cpp
@@ -4,8 +4,8 @@
 
 bool LiveEntry::isReady() const { return Others_.KnowsAll_() && !Leaving_; }
 
-members::OwnState LiveEntry::ownState(base::TimePoint Now) const {
-  members::OwnState Own;
+members::LocalHostState LiveEntry::ownState(base::TimePoint Now) const {
+  members::LocalHostState Own;
   const bool Trusted = Others_.Intents_.isTrusted(Now);
   Own.Ready_ = isReady() && Trusted;
   Own.Leaving_ = Leaving_;
@@ -39,15 +39,16 @@
   gateway::HostAnswer Answer;
   Answer.TimeToLive_ = TimeToLive;
   Answer.SettingsVersion_ = Current->Version_;
-  const members::HostCard &Self = Others_.Hosts_.self();
-  const members::OwnState Own = ownState(Now);
+  const members::HostDescriptor &Self = Others_.Hosts_.self();
+  const members::LocalHostState Own = ownState(Now);
   if (Own.Ready_ && !Own.Leaving_)
     Answer.Hosts_.push_back(
-        {Self.Host_, Self.Region_, Self.Zone_, Self.Callers_});
+        {Self.Host_, Self.Region_, Self.Zone_, Self.CallerAddress_});
   for (const members::HostView &Each : Others_.Hosts_.others(Now))
     if (Each.Alive_ && Each.Ready_ && !Each.Leaving_)
-      Answer.Hosts_.push_back({Each.Card_.Host_, Each.Card_.Region_,
-                               Each.Card_.Zone_, Each.Card_.Callers_});
+      Answer.Hosts_.push_back({Each.Descriptor_.Host_, Each.Descriptor_.Region_,
+                               Each.Descriptor_.Zone_,
+                               Each.Descriptor_.CallerAddress_});
   return Answer;
 }
 
--- a/apps/lycheed/LiveEntry.h
+++ b/apps/lycheed/LiveEntry.h
@@ -2,7 +2,7 @@
 #define LYCHEE_APPS_LYCHEED_LIVEENTRY_H
 
 #include "gateway/HostDirectory.h"
-#include "live/IntentBook.h"
+#include "live/ActiveIntent.h"
 #include "members/EntryPolicy.h"
 
 #include <atomic>
@@ -15,8 +15,8 @@
 class LiveEntry final : public gateway::HostDirectory {
 public:
   struct Parts {
-    const members::HostBook &Hosts_;
-    const live::IntentBook &Intents_;
+    const members::HostTable &Hosts_;
+    const live::ActiveIntent &Intents_;
     /// Whether this host knows all that a request needs.
     std::function<bool()> KnowsAll_;
     /// Called once, when this host begins to stop.
@@ -36,7 +36,7 @@
 
   /// \returns whether requests can be served here.
   bool isReady() const;
-  members::OwnState ownState(base::TimePoint Now) const;
+  members::LocalHostState ownState(base::TimePoint Now) const;
 
   // gateway::HostDirectory
   std::optional<gateway::HostAnswer> lookUp(const base::ServiceId &Service,
--- a/apps/lycheed/LiveFeed.cpp
+++ b/apps/lycheed/LiveFeed.cpp
@@ -25,16 +25,17 @@
 /// first, and asked within 300 ms; a watch of each kind by each host that
 /// starts is a call for nothing.
 constexpr std::chrono::milliseconds StartRest(1200);
-constexpr live::FollowerPace LongPace{.Watch_ = std::chrono::seconds(20),
-                                      .LongestPause_ = std::chrono::seconds(3),
-                                      .Linger_ = std::chrono::milliseconds(500),
-                                      .StartRest_ = StartRest};
+constexpr live::FollowerTimings LongPace{.Watch_ = std::chrono::seconds(20),
+                                         .MaxBackoff_ = std::chrono::seconds(3),
+                                         .BatchDelay_ =
+                                             std::chrono::milliseconds(500),
+                                         .StartupDelay_ = StartRest};
 /// After trouble the intent is also what asks often; the others come with it.
-live::FollowerPace intentPace(const relaying::FreshnessPace &Pace) {
+live::FollowerTimings intentPace(const relaying::FreshnessTimeouts &Pace) {
   return {.Watch_ = Pace.Watch_,
-          .Patience_ = Pace.Patience_,
-          .LongestPause_ = std::chrono::milliseconds(500),
-          .StartRest_ = StartRest};
+          .WatchGrace_ = Pace.WatchGrace_,
+          .MaxBackoff_ = std::chrono::milliseconds(500),
+          .StartupDelay_ = StartRest};
 }
 
 /// A call begun so shortly before another failed is no older than the trouble.
@@ -50,16 +51,16 @@
 LiveFeed::LiveFeed(const LiveFeedParts &Parts, std::uint64_t Seed)
     : Parts_(Parts), Intents_(Parts.Intents_), Targets_(Parts.DrainBound_),
       Random_(Seed) {
-  live::FollowerListeners Intent;
+  live::FollowerCallbacks Intent;
   Intent.Changed_ = [this](auto Heard) { takeIntent(Heard); };
   Intent.Confirmed_ = [this](base::TimePoint Moment) {
     Intents_.confirm(Moment);
   };
-  live::FollowerListeners Targets;
+  live::FollowerCallbacks Targets;
   Targets.Changed_ = [this](auto Heard) { takeTargets(Heard); };
-  live::FollowerListeners Zones;
+  live::FollowerCallbacks Zones;
   Zones.Changed_ = [this](auto Heard) { takeEvacuations(Heard); };
-  live::FollowerListeners Hosts;
+  live::FollowerCallbacks Hosts;
   Hosts.Changed_ = [this](auto Heard) { takeHosts(Heard); };
   Followers_.push_back(
       follow(platform::IntentKind, intentPace(Parts.Pace_), Intent));
@@ -69,16 +70,16 @@
 }
 
 std::unique_ptr<live::ObjectFollower>
-LiveFeed::follow(std::string_view Kind, const live::FollowerPace &Pace,
-                 live::FollowerListeners Heard) {
-  Heard.MustAsk_ = [this](base::TimePoint Now) {
-    return Parts_.Role_.mustAsk(Now);
+LiveFeed::follow(std::string_view Kind, const live::FollowerTimings &Pace,
+                 live::FollowerCallbacks Heard) {
+  Heard.MustReadStore_ = [this](base::TimePoint Now) {
+    return Parts_.Role_.mustReadStore(Now);
   };
-  Heard.Spread_ = [this](base::TimePoint Now) {
-    return Parts_.Role_.spread(Now);
+  Heard.BackoffFactor_ = [this](base::TimePoint Now) {
+    return Parts_.Role_.backoffFactor(Now);
   };
-  Heard.Came_ = [this, Kind] {
-    Parts_.Role_.noteCall();
+  Heard.Succeeded_ = [this, Kind] {
+    Parts_.Role_.noteSuccess();
     Parts_.Gauges_.countStoreCall(std::string(Kind), true);
   };
   Heard.Trouble_ = [this, Kind](const base::Error &Why) {
@@ -104,7 +105,7 @@
   Parts_.Gauges_.countStoreCall(std::string(Kind), false);
   // A store that goes silent answers none of the calls it has, and a long one
   // would wait for its end. What one call noticed counts for all.
-  Parts_.Source_.abandonBegunBefore(Now - FreshCall);
+  Parts_.Source_.cancelStartedBefore(Now - FreshCall);
   reporting::logLine(LogLevel::Warning, KeyValueLine()
                                             .add("event", "store-trouble")
                                             .add("kind", Kind)
@@ -112,19 +113,19 @@
                                             .add("reason", Why.Reason_));
 }
 
-relaying::RelayQuestion LiveFeed::question(base::TimePoint Now) const {
-  relaying::RelayQuestion Asked;
-  Asked.Refused_ = Parts_.Role_.isInTrouble(Now);
+relaying::RelayRequest LiveFeed::question(base::TimePoint Now) const {
+  relaying::RelayRequest Asked;
+  Asked.StoreUnavailable_ = Parts_.Role_.isInTrouble(Now);
   for (const auto &Each : Followers_)
-    Asked.Known_[Each->kind()] = Each->at();
+    Asked.Known_[Each->kind()] = Each->revision();
   return Asked;
 }
 
-live::ObjectNews LiveFeed::newsFor(const live::ObjectFollower &Told,
-                                   std::uint64_t Since, bool Refused,
-                                   base::TimePoint Now) {
-  const std::size_t Bytes = Told.newsBytesSince(Since);
-  const bool Whole = Copies_.take(Bytes, Refused, Now);
+live::ObjectUpdate LiveFeed::newsFor(const live::ObjectFollower &Told,
+                                     std::uint64_t Since, bool Refused,
+                                     base::TimePoint Now) {
+  const std::size_t Bytes = Told.updateBytesSince(Since);
+  const bool Whole = Copies_.tryAcquire(Bytes, Refused, Now);
   if (!Whole)
     reporting::logLine(LogLevel::Info, KeyValueLine()
                                            .add("event", "change-left-out")
@@ -132,34 +133,35 @@
                                            .add("since", Since)
                                            .add("bytes", Bytes)
                                            .add("refused", Refused ? 1 : 0));
-  return Told.newsSince(Since, Whole, Now);
+  return Told.updateSince(Since, Whole, Now);
 }
 
-relaying::RelayAnswer LiveFeed::answer(const relaying::RelayQuestion &Asked,
-                                       base::TimePoint Now) {
-  relaying::RelayAnswer Told;
-  Told.Sound_ = !Parts_.Role_.isInTrouble(Now);
+relaying::RelayResponse LiveFeed::answer(const relaying::RelayRequest &Asked,
+                                         base::TimePoint Now) {
+  relaying::RelayResponse Told;
+  Told.IsSynced_ = !Parts_.Role_.isInTrouble(Now);
   if (const auto Trouble = Parts_.Role_.lastTrouble())
     Told.TroubleAge_ = Now - *Trouble;
   if (const auto Contact = Followers_.front()->contact())
     Told.ContactAge_ = Now - *Contact;
   for (const auto &Each : Followers_) {
-    Told.Sound_ = Told.Sound_ && Each->isSound();
+    Told.IsSynced_ = Told.IsSynced_ && Each->isSynced();
     const auto Known = Asked.Known_.find(Each->kind());
     if (Known != Asked.Known_.end())
-      Told.News_.push_back(newsFor(*Each, Known->second, Asked.Refused_, Now));
+      Told.Updates_.push_back(
+          newsFor(*Each, Known->second, Asked.StoreUnavailable_, Now));
   }
   return Told;
 }
 
-void LiveFeed::take(const relaying::RelayAnswer &Told, base::TimePoint AskedAt,
-                    base::TimePoint Now) {
+void LiveFeed::take(const relaying::RelayResponse &Told,
+                    base::TimePoint AskedAt, base::TimePoint Now) {
   if (Told.TroubleAge_)
     Targets_.noteTrouble(AskedAt - *Told.TroubleAge_);
-  for (const live::ObjectNews &News : Told.News_)
+  for (const live::ObjectUpdate &News : Told.Updates_)
     for (const auto &Each : Followers_)
       if (Each->kind() == News.Kind_)
-        Each->takeNews(News, Told.Sound_, AskedAt, Now);
+        Each->applyUpdate(News, Told.IsSynced_, AskedAt, Now);
 }
 
 void LiveFeed::takeIntent(std::span<const live::StoredObject> Heard) {
--- a/apps/lycheed/LiveFeed.h
+++ b/apps/lycheed/LiveFeed.h
@@ -3,12 +3,12 @@
 
 #include "dispatch/DispatchSteering.h"
 #include "gateway/Gateway.h"
-#include "live/IntentBook.h"
+#include "live/ActiveIntent.h"
 #include "live/ObjectFollower.h"
-#include "live/TargetBook.h"
+#include "live/TargetRegistry.h"
 #include "lycheed/LiveGauges.h"
-#include "members/HostBook.h"
-#include "relaying/CopyAllowance.h"
+#include "members/HostTable.h"
+#include "relaying/RelayCopyLimiter.h"
 #include "relaying/RelayMessages.h"
 #include "relaying/RelayRole.h"
 
@@ -23,16 +23,16 @@
 /// Whom a feed tells what it learned. All outlive it.
 struct LiveFeedParts {
   live::ObjectSource &Source_;
-  live::IntentBook &Intents_;
+  live::ActiveIntent &Intents_;
   dispatch::DispatchSteering &Steering_;
   gateway::Gateway &Gateway_;
-  members::HostBook &Hosts_;
+  members::HostTable &Hosts_;
   relaying::RelayRole &Role_;
   LiveGauges &Gauges_;
   const std::map<base::ZoneId, base::RegionId> &Zones_;
   /// After this a leaving target must get nothing more.
   base::Duration DrainBound_{};
-  relaying::FreshnessPace Pace_;
+  relaying::FreshnessTimeouts Pace_;
 };
 
 /// Keeps the host's knowledge of intent, targets, zones to keep clear and
@@ -51,10 +51,10 @@
   void expire(base::TimePoint Now);
 
   // What is passed on between hosts.
-  relaying::RelayQuestion question(base::TimePoint Now) const;
-  relaying::RelayAnswer answer(const relaying::RelayQuestion &Asked,
-                               base::TimePoint Now);
-  void take(const relaying::RelayAnswer &Told, base::TimePoint AskedAt,
+  relaying::RelayRequest question(base::TimePoint Now) const;
+  relaying::RelayResponse answer(const relaying::RelayRequest &Asked,
+                                 base::TimePoint Now);
+  void take(const relaying::RelayResponse &Told, base::TimePoint AskedAt,
             base::TimePoint Now);
 
   std::size_t targetCount() const noexcept { return Targets_.size(); }
@@ -66,17 +66,17 @@
   }
 
 private:
-  std::unique_ptr<live::ObjectFollower> follow(std::string_view Kind,
-                                               const live::FollowerPace &Pace,
-                                               live::FollowerListeners Heard);
+  std::unique_ptr<live::ObjectFollower>
+  follow(std::string_view Kind, const live::FollowerTimings &Pace,
+         live::FollowerCallbacks Heard);
   void noteTrouble(std::string_view Kind, const base::Error &Why);
   void takeIntent(std::span<const live::StoredObject> Heard);
   /// Hands an intent that is in force to those who act by it.
   void applyIntent(const std::shared_ptr<const live::Intent> &Fresh);
   /// \param Refused  the store does not answer the host that asks.
-  live::ObjectNews newsFor(const live::ObjectFollower &Told,
-                           std::uint64_t Since, bool Refused,
-                           base::TimePoint Now);
+  live::ObjectUpdate newsFor(const live::ObjectFollower &Told,
+                             std::uint64_t Since, bool Refused,
+                             base::TimePoint Now);
   static live::TargetChange readTarget(const live::StoredObject &Entry);
   void takeTargets(std::span<const live::StoredObject> Heard);
   void takeEvacuations(std::span<const live::StoredObject> Heard);
@@ -84,9 +84,9 @@
   void pushTargets(base::TimePoint Now);
 
   const LiveFeedParts Parts_;
-  live::IntentBook &Intents_;
-  live::TargetBook Targets_;
-  relaying::CopyAllowance Copies_;
+  live::ActiveIntent &Intents_;
+  live::TargetRegistry Targets_;
+  relaying::RelayCopyLimiter Copies_;
   std::set<base::ZoneId> Evacuated_;
   std::map<std::string, members::ListedHost> Listed_;
   std::atomic<bool> HasTargets_ = false;
--- a/apps/lycheed/LiveReports.h
+++ b/apps/lycheed/LiveReports.h
@@ -3,7 +3,7 @@
 
 #include "dispatch/DispatchSteering.h"
 #include "lycheed/LiveEntry.h"
-#include "members/DemandTeller.h"
+#include "members/DemandDeltaEncoder.h"
 #include "members/Heartbeat.h"
 #include "members/RegionExchange.h"
 #include "relaying/RelayRole.h"
@@ -21,7 +21,7 @@
   /// All outlive this.
   struct Parts {
     const LiveEntry &Entry_;
-    const members::HostBook &Hosts_;
+    const members::HostTable &Hosts_;
     const relaying::RelayRole &Role_;
     dispatch::DispatchSteering &Steering_;
   };
@@ -36,7 +36,7 @@
   members::Heartbeat answer(base::TimePoint Now) const;
 
   /// This host's part of what its region tells others.
-  members::OwnSummary summary(base::TimePoint Now) const;
+  members::LocalHostSummary summary(base::TimePoint Now) const;
 
 private:
   /// Everything but demands and hosts.
@@ -44,7 +44,7 @@
   std::vector<std::string> hostsHeard(base::TimePoint Now) const;
 
   const Parts Others_;
-  members::DemandTeller Demands_;
+  members::DemandDeltaEncoder Demands_;
 };
 
 } // namespace lychee::daemon
--- a/libs/dispatch/DispatchSteering.h
+++ b/libs/dispatch/DispatchSteering.h
@@ -8,7 +8,7 @@
 #include "dispatch/SendBudget.h"
 #include "dispatch/TargetChooser.h"
 #include "live/Intent.h"
-#include "live/TargetBook.h"
+#include "live/TargetRegistry.h"
 #include "retrying/CrashSuspects.h"
 #include "steering/Steering.h"
 
@@ -31,7 +31,7 @@
 /// What a dispatch asks of the rest of the host. Called under its lock.
 struct DispatchParts {
   /// \returns whether this host is the one for a matter, of all that are
-  /// alive. \see members::HostBook::isPickedFor
+  /// alive. \see members::HostTable::isElectedFor
   std::function<bool(std::uint64_t Matter)> PickedFor_;
   /// Asks the host at \p Holder for a token; heardToken() is called with its
   /// answer. \see RateDivision
@@ -75,8 +75,8 @@
   std::vector<members::CustomerDemand> demands(base::TimePoint Now);
   std::vector<members::ServiceDemand> loads(base::TimePoint Now);
   /// What was learned of how long rules' requests run.
-  std::vector<members::RuleTimes> workTimes() const;
-  void mergeWorkTimes(std::span<const members::RuleTimes> Told);
+  std::vector<members::RuleExecutionTimes> workTimes() const;
+  void mergeWorkTimes(std::span<const members::RuleExecutionTimes> Told);
   std::vector<retrying::CrashEvidence> evidence(base::TimePoint Now) const {
     return Suspects_.evidence(Now);
   }
--- a/libs/dispatch/DispatchUpkeep.cpp
+++ b/libs/dispatch/DispatchUpkeep.cpp
@@ -88,7 +88,7 @@
     Count(Settings_.Region_, BoundTo, Demand.perSecond(Now));
   for (const members::HostView &Other : Fleet.Others_)
     if (Other.Alive_)
-      CountTold(Other.Card_.Region_, Other.Loads_);
+      CountTold(Other.Descriptor_.Region_, Other.Loads_);
   for (const members::RegionView &Region : Fleet.Elsewhere_)
     if (Region.Alive_)
       CountTold(Region.Region_, Region.Loads_);
@@ -118,20 +118,20 @@
   return All;
 }
 
-std::vector<members::RuleTimes> DispatchSteering::workTimes() const {
+std::vector<members::RuleExecutionTimes> DispatchSteering::workTimes() const {
   const std::lock_guard Guard(Lock_);
-  std::vector<members::RuleTimes> All;
+  std::vector<members::RuleExecutionTimes> All;
   for (const auto &[Rule, Work] : Works_)
-    if (Work.isKnown() && All.size() < members::MostRuleTimes)
+    if (Work.isKnown() && All.size() < members::MaxRuleExecutionTimes)
       All.push_back(
           {Rule, Work.warmSeconds(), Work.coldSeconds(), Work.usualSeconds()});
   return All;
 }
 
 void DispatchSteering::mergeWorkTimes(
-    std::span<const members::RuleTimes> Told) {
+    std::span<const members::RuleExecutionTimes> Told) {
   const std::lock_guard Guard(Lock_);
-  for (const members::RuleTimes &Each : Told)
+  for (const members::RuleExecutionTimes &Each : Told)
     if (Each.WarmSeconds_ > 0)
       Works_[Each.Rule_].adopt(Each.WarmSeconds_, Each.ColdSeconds_,
                                Each.UsualSeconds_);
--- a/libs/dispatch/RateDivision.cpp
+++ b/libs/dispatch/RateDivision.cpp
@@ -16,14 +16,15 @@
 constexpr double MostBurstPart = 4;
 
 /// Hosts of this one's region that may keep tokens.
-std::vector<const members::HostCard *> keepersOf(const FleetDemand &Fleet) {
-  std::vector<const members::HostCard *> Found;
+std::vector<const members::HostDescriptor *>
+keepersOf(const FleetDemand &Fleet) {
+  std::vector<const members::HostDescriptor *> Found;
   if (Fleet.Serving_)
     Found.push_back(&Fleet.Self_);
   for (const members::HostView &Each : Fleet.Others_)
     if (Each.Alive_ && Each.Ready_ && !Each.Leaving_ &&
-        Each.Card_.Region_ == Fleet.Self_.Region_)
-      Found.push_back(&Each.Card_);
+        Each.Descriptor_.Region_ == Fleet.Self_.Region_)
+      Found.push_back(&Each.Descriptor_);
   return Found;
 }
 
@@ -78,7 +79,7 @@
     if (!Other.HoldsShare_)
       continue;
     const bool Near =
-        Other.Alive_ && Other.Card_.Region_ == Fleet.Self_.Region_;
+        Other.Alive_ && Other.Descriptor_.Region_ == Fleet.Self_.Region_;
     for (const members::CustomerDemand &Each : Other.Demands_) {
       Told &Sum = Sums[Each.Customer_];
       Sum.All_ += Each.RequestsPerSecond_;
@@ -92,14 +93,15 @@
   return Sums;
 }
 
-void RateDivision::pickHolder(Share &Of, std::uint64_t Matter,
-                              std::span<const members::HostCard *const> Keepers,
-                              const std::string &Self) {
-  const members::HostCard *First = nullptr;
-  const members::HostCard *Second = nullptr;
+void RateDivision::pickHolder(
+    Share &Of, std::uint64_t Matter,
+    std::span<const members::HostDescriptor *const> Keepers,
+    const std::string &Self) {
+  const members::HostDescriptor *First = nullptr;
+  const members::HostDescriptor *Second = nullptr;
   std::uint64_t Highest = 0;
   std::uint64_t Next = 0;
-  for (const members::HostCard *Each : Keepers) {
+  for (const members::HostDescriptor *Each : Keepers) {
     const std::uint64_t Place = base::stableHash(Each->Host_.name(), Matter);
     if (First == nullptr || Place > Highest) {
       Second = std::exchange(First, Each);
@@ -109,7 +111,7 @@
       Next = Place;
     }
   }
-  const auto AddressOf = [&Self](const members::HostCard *Each) {
+  const auto AddressOf = [&Self](const members::HostDescriptor *Each) {
     return Each == nullptr || Each->Address_ == Self ? std::string()
                                                      : Each->Address_;
   };
@@ -154,7 +156,7 @@
     return;
   }
   const std::map<base::CustomerId, Told> Sums = sumOf(Fleet);
-  const std::vector<const members::HostCard *> Keepers = keepersOf(Fleet);
+  const std::vector<const members::HostDescriptor *> Keepers = keepersOf(Fleet);
   for (auto &[Customer, Each] : Shares_) {
     if (Each.Holder_.empty())
       Each.Region_.fill(Each.regionRate(), Each.Most_, Now);
--- a/libs/dispatch/RateDivision.h
+++ b/libs/dispatch/RateDivision.h
@@ -6,7 +6,7 @@
 #include "dispatch/DelayedAmount.h"
 #include "dispatch/DemandMeter.h"
 #include "live/Intent.h"
-#include "members/HostBook.h"
+#include "members/HostTable.h"
 
 #include <map>
 #include <optional>
@@ -21,7 +21,7 @@
   std::vector<members::HostView> Others_;
   /// Other regions, of whose hosts no single demands are told.
   std::vector<members::RegionView> Elsewhere_;
-  members::HostCard Self_;
+  members::HostDescriptor Self_;
   /// This host takes callers' requests, as others do.
   bool Serving_ = true;
   /// Hosts that hold a part, this one included.
@@ -64,7 +64,7 @@
 /// customer's tokens in a region is picked by hash among the hosts that are
 /// alive; it costs no word between them. A host that becomes the keeper starts
 /// with none. A silent host's demand counts in the whole but in no region's
-/// part until it can no longer spend anything. \see members::HostBook
+/// part until it can no longer spend anything. \see members::HostTable
 ///
 /// Failure: a keeper is cut off. Its region picks another, and it would go on
 /// giving its own callers the whole region's part until its keys are stale, 4.7
@@ -181,9 +181,10 @@
   };
 
   static std::map<base::CustomerId, Told> sumOf(const FleetDemand &Fleet);
-  static void pickHolder(Share &Of, std::uint64_t Matter,
-                         std::span<const members::HostCard *const> Keepers,
-                         const std::string &Self);
+  static void
+  pickHolder(Share &Of, std::uint64_t Matter,
+             std::span<const members::HostDescriptor *const> Keepers,
+             const std::string &Self);
   /// Leaves a host that is cut off its own part of what it keeps.
   static void keepOwnPart(Share &Of, base::TimePoint Now) noexcept;
   void divideOne(Share &Of, const Told &Others, const FleetDemand &Fleet,
--- a/libs/dispatch/TargetTrust.h
+++ b/libs/dispatch/TargetTrust.h
@@ -35,7 +35,7 @@
   /// its answer, three in a row are one in 8,000.
   static constexpr std::uint32_t FailuresInRow = 3;
   /// The platform drops a silent target's entry after three heartbeats of 1.5
-  /// s; the rest is for hearing of it. \see live::TargetBook::HearingTime
+  /// s; the rest is for hearing of it. \see live::TargetRegistry::HearingTime
   static constexpr base::Duration EntryProof = std::chrono::seconds(6);
   /// A target that fails this part of its requests is left: second sends are
   /// bounded to a fifth of all requests.
--- a/libs/live/IntentBook.cpp
+++ b/libs/live/ActiveIntent.cpp
@@ -1,4 +1,4 @@
-#include "live/IntentBook.h"
+#include "live/ActiveIntent.h"
 
 #include "base/Hash.h"
 
@@ -15,8 +15,8 @@
 
 } // namespace
 
-IntentBook::Snapshot
-IntentBook::snapshotOf(std::shared_ptr<const Intent> From) {
+ActiveIntent::Snapshot
+ActiveIntent::snapshotOf(std::shared_ptr<const Intent> From) {
   Snapshot Made;
   for (std::size_t Index = 0; Index < From->Routes_.size(); ++Index)
     Made.ByHost_[From->Routes_[Index].Host_].push_back(Index);
@@ -36,7 +36,7 @@
   return Made;
 }
 
-bool IntentBook::offer(std::shared_ptr<const Intent> Fresh) {
+bool ActiveIntent::offer(std::shared_ptr<const Intent> Fresh) {
   Snapshot Made = snapshotOf(std::move(Fresh));
   const std::lock_guard Guard(Lock_);
   if (Current_.Intent_ && Made.Intent_->Version_ <= Current_.Intent_->Version_)
@@ -46,30 +46,30 @@
   return true;
 }
 
-void IntentBook::confirm(base::TimePoint Moment) {
+void ActiveIntent::confirm(base::TimePoint Moment) {
   const std::lock_guard Guard(Lock_);
   if (!Confirmed_ || Moment > *Confirmed_)
     Confirmed_ = Moment;
 }
 
-std::shared_ptr<const Intent> IntentBook::current() const {
+std::shared_ptr<const Intent> ActiveIntent::current() const {
   const std::lock_guard Guard(Lock_);
   return Current_.Intent_;
 }
 
-bool IntentBook::isTrusted(base::TimePoint Now) const {
+bool ActiveIntent::isTrusted(base::TimePoint Now) const {
   const std::optional<base::Duration> Known = age(Now);
   return Known && *Known < KeyTrust_;
 }
 
-std::optional<base::Duration> IntentBook::age(base::TimePoint Now) const {
+std::optional<base::Duration> ActiveIntent::age(base::TimePoint Now) const {
   const std::lock_guard Guard(Lock_);
   if (!Confirmed_ || !Current_.Intent_)
     return std::nullopt;
   return Now - *Confirmed_;
 }
 
-const base::ServiceId &IntentBook::divide(const RouteRule &Rule) {
+const base::ServiceId &ActiveIntent::divide(const RouteRule &Rule) {
   if (Rule.Services_.size() == 1)
     return Rule.Services_.front().Service_;
   std::vector<std::int64_t> &Credit = Divisions_[Rule.Name_].Credit_;
@@ -86,7 +86,7 @@
 }
 
 std::optional<gateway::Route>
-IntentBook::route(const gateway::RouteQuery &Query) {
+ActiveIntent::route(const gateway::RouteQuery &Query) {
   const std::lock_guard Guard(Lock_);
   const auto Host = Current_.ByHost_.find(std::string(Query.HostName_));
   if (Host == Current_.ByHost_.end())
@@ -113,8 +113,8 @@
   return std::nullopt;
 }
 
-gateway::Identity IntentBook::check(std::string_view Presented,
-                                    base::TimePoint Now) {
+gateway::Identity ActiveIntent::check(std::string_view Presented,
+                                      base::TimePoint Now) {
   const bool Trusted = isTrusted(Now);
   const std::lock_guard Guard(Lock_);
   gateway::Identity Found;
@@ -137,8 +137,8 @@
   return Found;
 }
 
-steering::Refusal IntentBook::recheck(const gateway::Identity &Found,
-                                      base::TimePoint Now) {
+steering::Refusal ActiveIntent::recheck(const gateway::Identity &Found,
+                                        base::TimePoint Now) {
   if (!isTrusted(Now))
     return steering::Refusal::KeysStale;
   const std::lock_guard Guard(Lock_);
--- a/libs/live/IntentBook.h
+++ b/libs/live/ActiveIntent.h
@@ -1,5 +1,5 @@
-#ifndef LYCHEE_LIVE_INTENTBOOK_H
-#define LYCHEE_LIVE_INTENTBOOK_H
+#ifndef LYCHEE_LIVE_ACTIVEINTENT_H
+#define LYCHEE_LIVE_ACTIVEINTENT_H
 
 #include "gateway/Authenticator.h"
 #include "gateway/RequestRouter.h"
@@ -27,12 +27,12 @@
 /// have been replaced before C.
 ///
 /// Thread-safe. \see gateway::RequestRouter, gateway::Authenticator
-class IntentBook final : public gateway::RequestRouter,
-                         public gateway::Authenticator {
+class ActiveIntent final : public gateway::RequestRouter,
+                           public gateway::Authenticator {
 public:
   /// \param KeyTrust  how long after a confirmation keys hold; below the bound
   /// that was promised by what a send takes to reach its target.
-  explicit IntentBook(base::Duration KeyTrust) : KeyTrust_(KeyTrust) {}
+  explicit ActiveIntent(base::Duration KeyTrust) : KeyTrust_(KeyTrust) {}
 
   /// Puts \p Fresh in force. \returns false where it is not newer than what
   /// is in force; equal versions keep what stands.
--- a/libs/live/Intent.h
+++ b/libs/live/Intent.h
@@ -71,7 +71,7 @@
 };
 
 /// All that operators say, as of one version. Never changed once made: a newer
-/// version is a new object. \see IntentBook
+/// version is a new object. \see ActiveIntent
 struct Intent {
   std::uint64_t Version_ = 0;
   std::vector<RouteRule> Routes_;
--- a/libs/live/ObjectFollower.cpp
+++ b/libs/live/ObjectFollower.cpp
@@ -14,14 +14,14 @@
 using base::SystemClock;
 
 ObjectFollower::ObjectFollower(ObjectSource &Source, RecoverySignal &Recovered,
-                               std::string Kind, const FollowerPace &Pace,
-                               FollowerListeners Listeners, std::uint64_t Seed)
+                               std::string Kind, const FollowerTimings &Pace,
+                               FollowerCallbacks Listeners, std::uint64_t Seed)
     : Source_(Source), Kind_(std::move(Kind)), Recovered_(Recovered),
       Pace_(Pace), Listeners_(std::move(Listeners)), Random_(Seed),
-      Backoff_(Pace.LongestPause_) {}
+      Backoff_(Pace.MaxBackoff_) {}
 
 bool ObjectFollower::mustAsk(base::TimePoint Now) const {
-  return Gap_ || !Listeners_.MustAsk_ || Listeners_.MustAsk_(Now);
+  return Gap_ || !Listeners_.MustReadStore_ || Listeners_.MustReadStore_(Now);
 }
 
 asio::awaitable<void> ObjectFollower::run() {
@@ -49,9 +49,9 @@
   const base::Duration Span = Backoff_.next(Random_);
   // What others cannot tell nobody asks for in this host's place: a zone to be
   // kept clear was heard of 4 s late, and sent to 9 ms after its bound of 5 s.
-  const bool Spreads = Listeners_.Spread_ && !Gap_;
+  const bool Spreads = Listeners_.BackoffFactor_ && !Gap_;
   const double Spread =
-      Spreads ? Listeners_.Spread_(SystemClock::monotonicNow()) : 1;
+      Spreads ? Listeners_.BackoffFactor_(SystemClock::monotonicNow()) : 1;
   const double Longer =
       std::min(base::toSeconds(Span) * Spread,
                std::max(base::toSeconds(Span), base::toSeconds(MostPause)));
@@ -71,16 +71,16 @@
   Backoff_.reset();
   Contact_ = Now;
   StoreDelay_ = std::max(Now - Asked_ - Wait, base::Duration::zero());
-  if (Listeners_.Came_)
-    Listeners_.Came_();
+  if (Listeners_.Succeeded_)
+    Listeners_.Succeeded_();
   if (std::exchange(InTrouble_, false))
     Recovered_.announce(Now);
 }
 
 base::Duration ObjectFollower::patience() const {
-  if (Pace_.Patience_ == base::Duration::zero())
-    return Pace_.Patience_;
-  return std::max(Pace_.Patience_, 2 * StoreDelay_);
+  if (Pace_.WatchGrace_ == base::Duration::zero())
+    return Pace_.WatchGrace_;
+  return std::max(Pace_.WatchGrace_, 2 * StoreDelay_);
 }
 
 void ObjectFollower::confirm(base::TimePoint Moment) {
@@ -109,7 +109,7 @@
     Listeners_.Changed_(News);
   confirm(Asked_);
   if (First)
-    co_await waitFor(Pace_.StartRest_);
+    co_await waitFor(Pace_.StartupDelay_);
   co_return true;
 }
 
@@ -148,12 +148,12 @@
   if (!Lasted && !Ended)
     co_await Recovered_.wait(Backoff_.next(Random_), Now);
   if (Ended)
-    co_await waitFor(Pace_.Linger_);
+    co_await waitFor(Pace_.BatchDelay_);
 }
 
-ObjectNews ObjectFollower::newsSince(std::uint64_t Since, bool Whole,
-                                     base::TimePoint Now) const {
-  ObjectNews Told;
+ObjectUpdate ObjectFollower::updateSince(std::uint64_t Since, bool Whole,
+                                         base::TimePoint Now) const {
+  ObjectUpdate Told;
   Told.Kind_ = Kind_;
   Told.Newest_ = Mirror_.newest();
   if (Confirmed_)
@@ -170,8 +170,8 @@
   Gap_ = std::max(Gap_.value_or(Revision), Revision);
 }
 
-void ObjectFollower::takeNews(const ObjectNews &Told, bool Sound,
-                              base::TimePoint AskedAt, base::TimePoint Now) {
+void ObjectFollower::applyUpdate(const ObjectUpdate &Told, bool Sound,
+                                 base::TimePoint AskedAt, base::TimePoint Now) {
   // Before the first list there is nothing that changes could be added to.
   if (Mirror_.isEmpty())
     return;
@@ -189,7 +189,7 @@
       noteGap(Told.Newest_);
     return;
   }
-  if (Gap_ && *Gap_ <= Told.Changes_.At_ && Mirror_.covers(*Gap_))
+  if (Gap_ && *Gap_ <= Told.Changes_.Revision_ && Mirror_.covers(*Gap_))
     Gap_.reset();
   // The answer was given after the question was asked, whatever time either
   // spent on its way; so it is no older than its age before the question.
--- a/libs/live/ObjectFollower.h
+++ b/libs/live/ObjectFollower.h
@@ -3,7 +3,7 @@
 
 #include "base/Random.h"
 #include "live/ObjectMirror.h"
-#include "live/ObjectNews.h"
+#include "live/ObjectUpdate.h"
 #include "live/RecoverySignal.h"
 #include "store/Backoff.h"
 
@@ -14,7 +14,7 @@
 namespace lychee::live {
 
 /// Whom a follower tells. All are called on the executor that it runs on.
-struct FollowerListeners {
+struct FollowerCallbacks {
   /// What changed, in order, each change once; after the first list all there
   /// is, if only to say that there is nothing.
   std::function<void(std::span<const StoredObject>)> Changed_;
@@ -24,32 +24,32 @@
   /// A call brought nothing.
   std::function<void(const base::Error &)> Trouble_;
   /// A call brought what there is. Empty: nobody needs to know.
-  std::function<void()> Came_;
+  std::function<void()> Succeeded_;
   /// Whether this host asks the store itself; else it waits for what other
   /// hosts tell. Empty: it always asks.
-  std::function<bool(base::TimePoint Now)> MustAsk_;
+  std::function<bool(base::TimePoint Now)> MustReadStore_;
   /// By how much longer this host pauses after trouble, as others try, too.
   /// Empty: not at all.
-  std::function<double(base::TimePoint Now)> Spread_;
+  std::function<double(base::TimePoint Now)> BackoffFactor_;
 };
 
 /// How often a follower calls.
-struct FollowerPace {
+struct FollowerTimings {
   /// Length of one watch.
   base::Duration Watch_{};
   /// A watch that is silent for so much longer than it should last, or twice
   /// what the store took for the last answer, has ended unheard. Zero: as long
   /// as any other call.
-  base::Duration Patience_{};
+  base::Duration WatchGrace_{};
   /// Longest pause between two calls that brought nothing.
-  base::Duration LongestPause_{};
+  base::Duration MaxBackoff_{};
   /// After a change was heard, so that changes that come together cost one call
   /// and not one each; the watch then tells all of them.
-  base::Duration Linger_{};
+  base::Duration BatchDelay_{};
   /// After the first list: within this time a host that starts hears the others
   /// of its region, and most often need not watch itself. What changes
   /// meanwhile is told from the list's revision on, whoever tells it.
-  base::Duration StartRest_{};
+  base::Duration StartupDelay_{};
 };
 
 /// Keeps up with one kind of object: lists, then watches, and after any trouble
@@ -72,8 +72,8 @@
 
   /// \param Source,Recovered  outlive this; the latter is shared by all kinds.
   ObjectFollower(ObjectSource &Source, RecoverySignal &Recovered,
-                 std::string Kind, const FollowerPace &Pace,
-                 FollowerListeners Listeners, std::uint64_t Seed);
+                 std::string Kind, const FollowerTimings &Pace,
+                 FollowerCallbacks Listeners, std::uint64_t Seed);
   ObjectFollower(const ObjectFollower &) = delete;
   ObjectFollower &operator=(const ObjectFollower &) = delete;
 
@@ -88,31 +88,31 @@
   boost::asio::awaitable<void> run();
 
   const std::string &kind() const noexcept { return Kind_; }
-  std::uint64_t at() const noexcept { return Mirror_.at(); }
+  std::uint64_t revision() const noexcept { return Mirror_.at(); }
   /// \returns whether the last call to the store brought what there is.
-  bool isSound() const noexcept { return Listed_ && !InTrouble_; }
+  bool isSynced() const noexcept { return Listed_ && !InTrouble_; }
 
   /// \returns when the last call that came was answered: all that changed
   /// before is known, unless the store itself is in trouble. Unlike a
   /// confirmation it does not allow for a store that goes deaf.
   std::optional<base::TimePoint> contact() const noexcept { return Contact_; }
 
-  /// \returns how long what newsSince() tells is as text.
-  std::size_t newsBytesSince(std::uint64_t Since) const noexcept {
+  /// \returns how long what updateSince() tells is as text.
+  std::size_t updateBytesSince(std::uint64_t Since) const noexcept {
     return Mirror_.bytesSince(Since);
   }
 
   /// \returns what to tell a host that knows everything up to \p Since.
   /// \param Whole  with the changes; else the host is to take them from the
   /// store.
-  ObjectNews newsSince(std::uint64_t Since, bool Whole,
-                       base::TimePoint Now) const;
+  ObjectUpdate updateSince(std::uint64_t Since, bool Whole,
+                           base::TimePoint Now) const;
 
   /// Takes what another host told in answer to a question of \p AskedAt.
   /// \param Sound  it asks the store itself, with success: what it cannot tell
   /// is then to be had there.
-  void takeNews(const ObjectNews &Told, bool Sound, base::TimePoint AskedAt,
-                base::TimePoint Now);
+  void applyUpdate(const ObjectUpdate &Told, bool Sound,
+                   base::TimePoint AskedAt, base::TimePoint Now);
 
 private:
   boost::asio::awaitable<bool> listOnce();
@@ -130,8 +130,8 @@
   ObjectSource &Source_;
   const std::string Kind_;
   RecoverySignal &Recovered_;
-  const FollowerPace Pace_;
-  const FollowerListeners Listeners_;
+  const FollowerTimings Pace_;
+  const FollowerCallbacks Listeners_;
   base::Random Random_;
   store::Backoff Backoff_;
   ObjectMirror Mirror_;
--- a/libs/live/ObjectMirror.cpp
+++ b/libs/live/ObjectMirror.cpp
@@ -39,18 +39,18 @@
                                                    base::TimePoint Now) {
   std::vector<StoredObject> News;
   // A list that was long under way: what is known is newer.
-  if (All.At_ < At_)
+  if (All.Revision_ < At_)
     return News;
   std::set<std::string_view> Listed;
   for (const StoredObject &Each : All.Objects_)
     Listed.insert(Each.Name_);
   for (const auto &[Name, Revision] : Revisions_)
     if (!Listed.contains(Name))
-      News.push_back({Name, All.At_, {}, true});
+      News.push_back({Name, All.Revision_, {}, true});
   for (const StoredObject &Each : News)
     forget(Each.Name_, Each.Revision_, Now);
   if (!News.empty())
-    Newest_ = All.At_;
+    Newest_ = All.Revision_;
   for (const StoredObject &Each : All.Objects_) {
     Newest_ = std::max(Newest_, Each.Revision_);
     if (isKnown(Each))
@@ -59,8 +59,8 @@
     News.push_back(Each);
   }
   const bool First = At_ == 0;
-  At_ = All.At_;
-  ListedAt_ = All.At_;
+  At_ = All.Revision_;
+  ListedAt_ = All.Revision_;
   if (First)
     From_ = At_;
   else
@@ -81,7 +81,7 @@
       Revisions_[Each.Name_] = Each.Revision_;
     News.push_back(Each);
   }
-  At_ = std::max(At_, Changes.At_);
+  At_ = std::max(At_, Changes.Revision_);
   remember(News, At_, Now);
   return News;
 }
@@ -101,7 +101,7 @@
   if (isForgotten(Since))
     return std::nullopt;
   ObjectBatch Found;
-  Found.At_ = At_;
+  Found.Revision_ = At_;
   for (const Portion &Each : Portions_)
     if (Each.At_ > Since)
       Found.Objects_.insert(Found.Objects_.end(), Each.Objects_.begin(),
--- a/libs/live/ObjectSource.h
+++ b/libs/live/ObjectSource.h
@@ -36,7 +36,7 @@
 /// Objects of a kind, or what changed of them, as of a revision of the store.
 struct ObjectBatch {
   std::vector<StoredObject> Objects_;
-  std::uint64_t At_ = 0;
+  std::uint64_t Revision_ = 0;
 };
 
 /// Why a call brought nothing, as far as its caller acts on it.
@@ -53,7 +53,7 @@
   base::Duration Wait_{};
   /// An answer that is later than Wait_ by more than this does not come. Zero:
   /// as long as any other call may take.
-  base::Duration Patience_{};
+  base::Duration Grace_{};
 };
 
 /// A store's objects by kind: listed whole, then watched for changes. The one
@@ -78,7 +78,7 @@
         SourceFault &Fault, base::Error &Last) = 0;
 
   /// Ends all calls begun before \p Moment; each tells trouble.
-  virtual void abandonBegunBefore(base::TimePoint Moment) = 0;
+  virtual void cancelStartedBefore(base::TimePoint Moment) = 0;
 
   /// Writes the object whatever stood there, or makes it.
   /// \returns whether the store acknowledged it.
--- a/libs/live/ObjectNews.h
+++ b/libs/live/ObjectUpdate.h
@@ -1,5 +1,5 @@
-#ifndef LYCHEE_LIVE_OBJECTNEWS_H
-#define LYCHEE_LIVE_OBJECTNEWS_H
+#ifndef LYCHEE_LIVE_OBJECTUPDATE_H
+#define LYCHEE_LIVE_OBJECTUPDATE_H
 
 #include "live/ObjectSource.h"
 
@@ -11,7 +11,7 @@
 
 /// What another host tells of one kind of object: what changed after a
 /// revision that this host named, and for when that is the newest.
-struct ObjectNews {
+struct ObjectUpdate {
   std::string Kind_;
   ObjectBatch Changes_;
   /// The last change that the other host heard of. One that is not among
--- a/libs/live/TargetBook.cpp
+++ b/libs/live/TargetRegistry.cpp
@@ -1,11 +1,11 @@
-#include "live/TargetBook.h"
+#include "live/TargetRegistry.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace lychee::live {
 
-void TargetBook::put(const TargetRecord &Fresh, base::TimePoint Now) {
+void TargetRegistry::put(const TargetRecord &Fresh, base::TimePoint Now) {
   Entry &Stored = Entries_[Fresh.Id_];
   const bool Same = Stored.Known_.Record_ == Fresh && !Stored.GoneAt_;
   if (Same)
@@ -16,7 +16,7 @@
   Changed_ = true;
 }
 
-void TargetBook::miss(Entry &Missing, base::TimePoint Now) {
+void TargetRegistry::miss(Entry &Missing, base::TimePoint Now) {
   if (Missing.GoneAt_)
     return;
   const bool MayComeBack = Trouble_ && Now - *Trouble_ < AfterTrouble &&
@@ -24,7 +24,7 @@
   Missing.GoneAt_ = MayComeBack ? Now + Grace_ : Now;
 }
 
-void TargetBook::remove(const base::TargetId &Gone, base::TimePoint Now) {
+void TargetRegistry::remove(const base::TargetId &Gone, base::TimePoint Now) {
   const auto Found = Entries_.find(Gone);
   if (Found == Entries_.end())
     return;
@@ -32,8 +32,8 @@
   expire(Now);
 }
 
-void TargetBook::apply(std::span<const TargetChange> Changes,
-                       base::TimePoint Now) {
+void TargetRegistry::apply(std::span<const TargetChange> Changes,
+                           base::TimePoint Now) {
   for (const TargetChange &Each : Changes)
     if (Each.Record_)
       put(*Each.Record_, Now);
@@ -41,18 +41,18 @@
       remove(Each.Target_, Now);
 }
 
-void TargetBook::expire(base::TimePoint Now) {
+void TargetRegistry::expire(base::TimePoint Now) {
   const auto Gone = std::erase_if(Entries_, [Now](const auto &Each) {
     return Each.second.GoneAt_ && *Each.second.GoneAt_ <= Now;
   });
   Changed_ = Changed_ || Gone > 0;
 }
 
-bool TargetBook::takeChanged() noexcept {
+bool TargetRegistry::takeChanged() noexcept {
   return std::exchange(Changed_, false);
 }
 
-std::vector<KnownTarget> TargetBook::targets() const {
+std::vector<KnownTarget> TargetRegistry::targets() const {
   std::vector<KnownTarget> All;
   All.reserve(Entries_.size());
   for (const auto &[Id, Stored] : Entries_)
--- a/libs/live/TargetBook.h
+++ b/libs/live/TargetRegistry.h
@@ -1,5 +1,5 @@
-#ifndef LYCHEE_LIVE_TARGETBOOK_H
-#define LYCHEE_LIVE_TARGETBOOK_H
+#ifndef LYCHEE_LIVE_TARGETREGISTRY_H
+#define LYCHEE_LIVE_TARGETREGISTRY_H
 
 #include "live/TargetRecord.h"
 
@@ -35,7 +35,7 @@
 /// trouble, the grace ends before leaving targets must get nothing more.
 ///
 /// Not thread-safe: of the control loop's thread.
-class TargetBook {
+class TargetRegistry {
 public:
   /// Live targets write again within about 2 s of the store's return.
   static constexpr base::Duration LongestGrace =
@@ -50,7 +50,7 @@
   static constexpr base::Duration AfterTrouble = std::chrono::seconds(5);
 
   /// \param DrainBound  after this a leaving target must get nothing more.
-  explicit TargetBook(base::Duration DrainBound) noexcept
+  explicit TargetRegistry(base::Duration DrainBound) noexcept
       : Grace_(std::clamp(DrainBound - HearingTime, base::Duration::zero(),
                           LongestGrace)) {}
 
--- a/libs/members/DemandTeller.cpp
+++ b/libs/members/DemandDeltaEncoder.cpp
@@ -1,11 +1,11 @@
-#include "members/DemandTeller.h"
+#include "members/DemandDeltaEncoder.h"
 
 #include <cmath>
 
 namespace lychee::members {
 
-ToldDemands DemandTeller::tell(std::span<const CustomerDemand> All,
-                               bool Whole) {
+DemandUpdate DemandDeltaEncoder::encode(std::span<const CustomerDemand> All,
+                                        bool Whole) {
   std::map<base::CustomerId, double> Demands;
   for (const CustomerDemand &Each : All)
     Demands.emplace(Each.Customer_, Each.RequestsPerSecond_);
@@ -13,7 +13,7 @@
     Told_ = std::move(Demands);
     return {true, {All.begin(), All.end()}};
   }
-  ToldDemands Changed{false, {}};
+  DemandUpdate Changed{false, {}};
   const auto Tell = [&](const base::CustomerId &Customer, double Before,
                         double Is) {
     if (std::abs(Is - Before) > Noise + NoisePart * Before)
--- a/libs/members/EntryPolicy.cpp
+++ b/libs/members/EntryPolicy.cpp
@@ -10,32 +10,32 @@
 
 namespace {
 
-using Filter = std::function<bool(const HostCard &)>;
-using Cards = std::vector<const HostCard *>;
+using Filter = std::function<bool(const HostDescriptor &)>;
+using Cards = std::vector<const HostDescriptor *>;
 
 bool serves(const HostView &Each) {
   return Each.Alive_ && Each.Ready_ && !Each.Leaving_;
 }
 
-Cards serving(const Filter &Wanted, const HostCard &Self, const OwnState &Own,
-              std::span<const HostView> Others) {
+Cards serving(const Filter &Wanted, const HostDescriptor &Self,
+              const LocalHostState &Own, std::span<const HostView> Others) {
   Cards Found;
   if (Own.Ready_ && !Own.Leaving_ && !Own.CutOff_ && Wanted(Self))
     Found.push_back(&Self);
   for (const HostView &Each : Others)
-    if (serves(Each) && Wanted(Each.Card_))
-      Found.push_back(&Each.Card_);
+    if (serves(Each) && Wanted(Each.Descriptor_))
+      Found.push_back(&Each.Descriptor_);
   return Found;
 }
 
 /// When nobody is known to be ready, a host that is alive may be soon; and
 /// where this host is the one that was cut off, the others were well.
-Cards hopeful(const HostCard &Self, const OwnState &Own,
+Cards hopeful(const HostDescriptor &Self, const LocalHostState &Own,
               std::span<const HostView> Others) {
   Cards Found;
   for (const HostView &Each : Others)
     if (!Each.Leaving_ && (Each.Alive_ || Own.CutOff_))
-      Found.push_back(&Each.Card_);
+      Found.push_back(&Each.Descriptor_);
   if (!Own.Leaving_ && !Own.CutOff_)
     Found.push_back(&Self);
   return Found;
@@ -45,7 +45,7 @@
 void sortByHash(Cards &All, std::string_view Name) {
   const std::uint64_t Matter = base::stableHash(Name);
   std::sort(All.begin(), All.end(),
-            [Matter](const HostCard *Left, const HostCard *Right) {
+            [Matter](const HostDescriptor *Left, const HostDescriptor *Right) {
               return base::stableHash(Left->Host_.name(), Matter) <
                      base::stableHash(Right->Host_.name(), Matter);
             });
@@ -55,47 +55,48 @@
 /// one order. Zones begin at even distances, so that together they cover all
 /// hosts as evenly as they can; where that is not all, the hosts that answer
 /// begin at different places, too.
-Cards stretchOf(Cards All, const EntryQuery &Asked, const HostCard &Self) {
-  if (All.size() <= Asked.Most_)
+Cards stretchOf(Cards All, const EntryQuery &Asked,
+                const HostDescriptor &Self) {
+  if (All.size() <= Asked.MaxEntries_)
     return All;
   sortByHash(All, Asked.Name_);
   std::set<base::ZoneId> Zones = {Asked.Zone_};
-  for (const HostCard *Each : All)
+  for (const HostDescriptor *Each : All)
     Zones.insert(Each->Zone_);
   const auto Place = static_cast<std::size_t>(
       std::distance(Zones.begin(), Zones.find(Asked.Zone_)));
-  const std::size_t Covered = Zones.size() * Asked.Most_;
+  const std::size_t Covered = Zones.size() * Asked.MaxEntries_;
   const std::size_t Turns = (All.size() + Covered - 1) / Covered;
   const std::size_t Turn = base::stableHash(Self.Host_.name()) % Turns;
   const std::size_t Begin =
       (Place * Turns + Turn) * All.size() / (Zones.size() * Turns);
   std::rotate(All.begin(), All.begin() + static_cast<std::ptrdiff_t>(Begin),
               All.end());
-  All.resize(Asked.Most_);
+  All.resize(Asked.MaxEntries_);
   return All;
 }
 
 std::vector<std::string> callersOf(const Cards &All) {
   std::vector<std::string> Found;
-  for (const HostCard *Each : All)
-    Found.push_back(Each->Callers_);
+  for (const HostDescriptor *Each : All)
+    Found.push_back(Each->CallerAddress_);
   return Found;
 }
 
 } // namespace
 
 std::vector<std::string> chooseEntries(const EntryQuery &Asked,
-                                       const HostCard &Self,
-                                       const OwnState &Own,
+                                       const HostDescriptor &Self,
+                                       const LocalHostState &Own,
                                        std::span<const HostView> Others) {
-  const Filter InRegion = [&Asked](const HostCard &Card) {
+  const Filter InRegion = [&Asked](const HostDescriptor &Card) {
     return Card.Region_ == Asked.Region_;
   };
-  const Filter AtHome = [&Asked](const HostCard &Card) {
+  const Filter AtHome = [&Asked](const HostDescriptor &Card) {
     return std::find(Asked.Homes_.begin(), Asked.Homes_.end(), Card.Region_) !=
            Asked.Homes_.end();
   };
-  const Filter Anywhere = [](const HostCard &) { return true; };
+  const Filter Anywhere = [](const HostDescriptor &) { return true; };
   for (const Filter &Wanted : {InRegion, AtHome, Anywhere}) {
     const Cards Found = serving(Wanted, Self, Own, Others);
     if (!Found.empty())
--- a/libs/members/EntryPolicy.h
+++ b/libs/members/EntryPolicy.h
@@ -1,7 +1,7 @@
 #ifndef LYCHEE_MEMBERS_ENTRYPOLICY_H
 #define LYCHEE_MEMBERS_ENTRYPOLICY_H
 
-#include "members/HostBook.h"
+#include "members/HostTable.h"
 
 #include <span>
 #include <string>
@@ -18,11 +18,11 @@
   /// Host name that the caller's requests go to.
   std::string Name_;
   /// Callers take no more hosts than this.
-  std::size_t Most_ = 64;
+  std::size_t MaxEntries_ = 64;
 };
 
 /// This host, as far as callers may be sent to it.
-struct OwnState {
+struct LocalHostState {
   bool Ready_ = false;
   bool Leaving_ = false;
   /// It can reach neither the store nor most hosts, so callers do better
@@ -43,8 +43,8 @@
 /// fleet's callers use all of them, and the same caller the same each time.
 /// \returns their caller addresses; none where nobody can be named.
 std::vector<std::string> chooseEntries(const EntryQuery &Asked,
-                                       const HostCard &Self,
-                                       const OwnState &Own,
+                                       const HostDescriptor &Self,
+                                       const LocalHostState &Own,
                                        std::span<const HostView> Others);
 
 } // namespace lychee::members
--- a/libs/members/Heartbeat.cpp
+++ b/libs/members/Heartbeat.cpp
@@ -10,7 +10,7 @@
   for (const Json::Value &Row : Rows) {
     if (!Row.isString())
       return false;
-    Into.Hears_.push_back(Row.asString());
+    Into.LivePeers_.push_back(Row.asString());
   }
   return true;
 }
@@ -39,39 +39,39 @@
 unsigned stateOf(const Heartbeat &Said) {
   return (Said.Ready_ ? ReadyBit : 0U) | (Said.Leaving_ ? LeavingBit : 0U) |
          (Said.StoreTrouble_ ? StoreTroubleBit : 0U) |
-         (Said.IsWhole_ ? WholeBit : 0U);
+         (Said.IsFull_ ? WholeBit : 0U);
 }
 
 void readState(unsigned State, Heartbeat &Into) {
   Into.Ready_ = (State & ReadyBit) != 0;
   Into.Leaving_ = (State & LeavingBit) != 0;
   Into.StoreTrouble_ = (State & StoreTroubleBit) != 0;
-  Into.IsWhole_ = (State & WholeBit) != 0;
+  Into.IsFull_ = (State & WholeBit) != 0;
 }
 
-void addCard(const HostCard &Card, Json::Value &Into) {
+void addCard(const HostDescriptor &Card, Json::Value &Into) {
   Into[RegionName] = Card.Region_.name();
   Into[ZoneName] = Card.Zone_.name();
   Into[AddressName] = Card.Address_;
-  Into[CallersName] = Card.Callers_;
+  Into[CallersName] = Card.CallerAddress_;
 }
 
 /// Either all of the card is told, or host and start alone.
 bool readCard(const Json::Value &Said, Heartbeat &Into) {
   if (!Said[HostName].isString() || !Said[StartName].isUInt64())
     return false;
-  Into.From_.Host_ = base::HostId(Said[HostName].asString());
-  Into.From_.Start_ = Said[StartName].asUInt64();
-  Into.HasCard_ = Said.isMember(RegionName);
-  if (!Into.HasCard_)
+  Into.Sender_.Host_ = base::HostId(Said[HostName].asString());
+  Into.Sender_.Incarnation_ = Said[StartName].asUInt64();
+  Into.HasDescriptor_ = Said.isMember(RegionName);
+  if (!Into.HasDescriptor_)
     return true;
   for (const char *Name : {RegionName, ZoneName, AddressName, CallersName})
     if (!Said[Name].isString())
       return false;
-  Into.From_.Region_ = base::RegionId(Said[RegionName].asString());
-  Into.From_.Zone_ = base::ZoneId(Said[ZoneName].asString());
-  Into.From_.Address_ = Said[AddressName].asString();
-  Into.From_.Callers_ = Said[CallersName].asString();
+  Into.Sender_.Region_ = base::RegionId(Said[RegionName].asString());
+  Into.Sender_.Zone_ = base::ZoneId(Said[ZoneName].asString());
+  Into.Sender_.Address_ = Said[AddressName].asString();
+  Into.Sender_.CallerAddress_ = Said[CallersName].asString();
   return true;
 }
 
@@ -79,12 +79,12 @@
 
 std::string encodeHeartbeat(const Heartbeat &Said) {
   Json::Value Text;
-  Text[HostName] = Said.From_.Host_.name();
-  Text[StartName] = Json::UInt64(Said.From_.Start_);
+  Text[HostName] = Said.Sender_.Host_.name();
+  Text[StartName] = Json::UInt64(Said.Sender_.Incarnation_);
   Text[SequenceName] = Json::UInt64(Said.Sequence_);
   Text[StateName] = stateOf(Said);
-  if (Said.HasCard_)
-    addCard(Said.From_, Text);
+  if (Said.HasDescriptor_)
+    addCard(Said.Sender_, Text);
   // What is empty is left out.
   if (!Said.Demands_.empty())
     addDemands(Said.Demands_, Text[DemandsName]);
@@ -94,7 +94,7 @@
     addEvidence(Said.Evidence_, Text[EvidenceName]);
   if (!Said.Times_.empty())
     addTimes(Said.Times_, Text[TimesName]);
-  for (const std::string &Each : Said.Hears_)
+  for (const std::string &Each : Said.LivePeers_)
     Text[HearsName].append(Each);
   return textOf(Text);
 }
@@ -106,12 +106,12 @@
   Heartbeat Shorter = Said;
   Shorter.Evidence_.clear();
   Shorter.Times_.clear();
-  Shorter.Hears_.clear();
+  Shorter.LivePeers_.clear();
   Text = encodeHeartbeat(Shorter);
   if (Text.size() <= MostBytes)
     return Text;
   Shorter.Demands_.clear();
-  Shorter.IsWhole_ = false;
+  Shorter.IsFull_ = false;
   return encodeHeartbeat(Shorter);
 }
 
--- a/libs/members/Heartbeat.h
+++ b/libs/members/Heartbeat.h
@@ -29,7 +29,7 @@
 };
 
 /// How long requests of a rule run, as a host learned.
-struct RuleTimes {
+struct RuleExecutionTimes {
   std::string Rule_;
   double WarmSeconds_ = 0;
   double ColdSeconds_ = 0;
@@ -38,30 +38,30 @@
 };
 
 /// So many rules are told of: some 30 bytes each, in one datagram.
-inline constexpr std::size_t MostRuleTimes = 64;
+inline constexpr std::size_t MaxRuleExecutionTimes = 64;
 
 /// Who a host is, and where callers and other hosts reach it.
-struct HostCard {
+struct HostDescriptor {
   base::HostId Host_;
   base::RegionId Region_;
   base::ZoneId Zone_;
   /// IP of the host; all hosts use one port for heartbeats.
   std::string Address_;
   /// IP:PORT for callers.
-  std::string Callers_;
+  std::string CallerAddress_;
   /// Rises with each start of the host.
-  std::uint64_t Start_ = 0;
+  std::uint64_t Incarnation_ = 0;
 
-  bool operator==(const HostCard &) const = default;
+  bool operator==(const HostDescriptor &) const = default;
 };
 
 /// What one host tells the others a few times a second. A datagram each: one
 /// that is lost is made up for by the next.
 struct Heartbeat {
-  HostCard From_;
+  HostDescriptor Sender_;
   /// Else From_ tells host and start alone: the rest was told before, and is
   /// half of what a heartbeat holds.
-  bool HasCard_ = true;
+  bool HasDescriptor_ = true;
   /// Rises with each heartbeat of a start.
   std::uint64_t Sequence_ = 0;
   /// It knows its intent and targets, and its keys are fresh.
@@ -71,16 +71,16 @@
   /// A call of it to the store failed lately.
   bool StoreTrouble_ = false;
   /// Demands_ are all there are; else those that changed since the last whole.
-  /// \see DemandTeller
-  bool IsWhole_ = true;
+  /// \see DemandDeltaEncoder
+  bool IsFull_ = true;
   std::vector<CustomerDemand> Demands_;
   std::vector<ServiceDemand> Loads_;
   std::vector<retrying::CrashEvidence> Evidence_;
   /// Told to hosts that have just started.
-  std::vector<RuleTimes> Times_;
+  std::vector<RuleExecutionTimes> Times_;
   /// Addresses of hosts that it hears, so that hosts find each other while the
   /// store is away.
-  std::vector<std::string> Hears_;
+  std::vector<std::string> LivePeers_;
 };
 
 std::string encodeHeartbeat(const Heartbeat &Said);
--- a/libs/members/HeartbeatExchange.cpp
+++ b/libs/members/HeartbeatExchange.cpp
@@ -2,7 +2,7 @@
 
 #include "base/SystemClock.h"
 #include "members/DatagramSocket.h"
-#include "members/DemandTeller.h"
+#include "members/DemandDeltaEncoder.h"
 #include "reporting/Log.h"
 
 #include <boost/asio/as_tuple.hpp>
@@ -21,8 +21,8 @@
 } // namespace
 
 HeartbeatExchange::HeartbeatExchange(const asio::any_io_executor &Executor,
-                                     HostBook &Book, settings::Endpoint Listen,
-                                     Parts Others)
+                                     HostTable &Book, settings::Endpoint Listen,
+                                     Callbacks Others)
     : Book_(Book), Listen_(std::move(Listen)), Others_(std::move(Others)),
       Socket_(Executor), Timer_(Executor), Sender_(Socket_, Listen_.Port_) {}
 
@@ -30,11 +30,11 @@
   return openDatagramSocket(Socket_, Listen_, "heartbeat.listen", Last);
 }
 
-void HeartbeatExchange::sayNow(base::TimePoint Now) { say(true, true, Now); }
+void HeartbeatExchange::sendNow(base::TimePoint Now) { say(true, true, Now); }
 
 std::string HeartbeatExchange::textOf(Heartbeat Said, bool WithCard) {
-  Said.From_ = Book_.self();
-  Said.HasCard_ = WithCard;
+  Said.Sender_ = Book_.self();
+  Said.HasDescriptor_ = WithCard;
   Said.Sequence_ = ++Sequence_;
   std::string Whole = encodeHeartbeat(Said);
   if (Whole.size() <= MostBytes)
@@ -53,15 +53,15 @@
                Book_.recipients(Now));
 }
 
-void HeartbeatExchange::answer(const std::string &Address,
-                               base::TimePoint Now) {
+void HeartbeatExchange::sendFullTo(const std::string &Address,
+                                   base::TimePoint Now) {
   Sender_.send(textOf(Others_.Answer_(Now), true), std::span(&Address, 1));
 }
 
 asio::awaitable<void> HeartbeatExchange::sendAll() {
   for (std::uint64_t Beat = 0;; ++Beat) {
     const bool IsFirst = Beat < FirstBeats;
-    say(IsFirst || Beat % DemandTeller::WholeEvery == 0,
+    say(IsFirst || Beat % DemandDeltaEncoder::FullEvery == 0,
         IsFirst || Beat % CardEvery == 0, SystemClock::monotonicNow());
     Timer_.expires_after(Pace);
     co_await Timer_.async_wait(AsTuple);
@@ -72,7 +72,7 @@
   base::Error Unreadable;
   const std::optional<Heartbeat> Said = decodeHeartbeat(Text, Unreadable);
   if (Said)
-    Others_.Hear_(*Said, Book_.heard(*Said, Now), Now);
+    Others_.Hear_(*Said, Book_.receive(*Said, Now), Now);
 }
 
 asio::awaitable<void> HeartbeatExchange::receiveAll() {
--- a/libs/members/HeartbeatExchange.h
+++ b/libs/members/HeartbeatExchange.h
@@ -1,7 +1,7 @@
 #ifndef LYCHEE_MEMBERS_HEARTBEATEXCHANGE_H
 #define LYCHEE_MEMBERS_HEARTBEATEXCHANGE_H
 
-#include "members/HostBook.h"
+#include "members/HostTable.h"
 #include "members/PacedSender.h"
 #include "settings/DaemonSettings.h"
 
@@ -14,11 +14,11 @@
 namespace lychee::members {
 
 /// Sends this host's heartbeat to all others of its region at a steady pace,
-/// and at once where something must not wait; takes theirs. \see HostBook,
+/// and at once where something must not wait; takes theirs. \see HostTable,
 /// RegionExchange
 class HeartbeatExchange {
 public:
-  /// Look-ups must drop a dead host within seconds; \see HostBook::AliveFor.
+  /// Look-ups must drop a dead host within seconds; \see HostTable::AliveFor.
   static constexpr std::chrono::milliseconds Pace{500};
   /// Who and where this host is, and which others it hears, is told at first in
   /// each heartbeat, and later now and then, for the case that the store is
@@ -29,7 +29,7 @@
   /// lost.
   static constexpr std::size_t MostBytes = 8UL * 1024;
 
-  struct Parts {
+  struct Callbacks {
     /// \returns what to say now, but for sender and sequence: all demands
     /// where \p Whole, and the hosts that are heard where \p WithCard.
     std::function<Heartbeat(bool Whole, bool WithCard, base::TimePoint)> Say_;
@@ -45,7 +45,8 @@
   /// \param Book  outlives this. \param Listen  where heartbeats come in; all
   /// hosts use its port.
   HeartbeatExchange(const boost::asio::any_io_executor &Executor,
-                    HostBook &Book, settings::Endpoint Listen, Parts Others);
+                    HostTable &Book, settings::Endpoint Listen,
+                    Callbacks Others);
   HeartbeatExchange(const HeartbeatExchange &) = delete;
   HeartbeatExchange &operator=(const HeartbeatExchange &) = delete;
 
@@ -57,11 +58,11 @@
   boost::asio::awaitable<void> receiveAll();
 
   /// Sends a heartbeat to all now, besides the steady ones.
-  void sayNow(base::TimePoint Now);
+  void sendNow(base::TimePoint Now);
 
   /// Tells one host all at once: it has just started, and would else not know
   /// who and where this host is before the next heartbeat that says so.
-  void answer(const std::string &Address, base::TimePoint Now);
+  void sendFullTo(const std::string &Address, base::TimePoint Now);
 
 private:
   /// \returns the text of a heartbeat, cut to what one datagram holds.
@@ -69,9 +70,9 @@
   void take(std::string_view Text, base::TimePoint Now);
   void say(bool Whole, bool WithCard, base::TimePoint Now);
 
-  HostBook &Book_;
+  HostTable &Book_;
   const settings::Endpoint Listen_;
-  const Parts Others_;
+  const Callbacks Others_;
   boost::asio::ip::udp::socket Socket_;
   boost::asio::steady_timer Timer_;
   PacedSender Sender_;
--- a/libs/members/HostBook.cpp
+++ b/libs/members/HostTable.cpp
@@ -1,4 +1,4 @@
-#include "members/HostBook.h"
+#include "members/HostTable.h"
 
 #include "base/Hash.h"
 
@@ -6,12 +6,12 @@
 
 namespace lychee::members {
 
-void HostBook::take(const Heartbeat &Said, Heartbeat &Into) {
+void HostTable::take(const Heartbeat &Said, Heartbeat &Into) {
   Heartbeat Next = Said;
-  const bool SameStart = Into.From_.Start_ == Said.From_.Start_;
-  if (!Said.HasCard_)
-    Next.From_ = Into.From_;
-  if (!Said.IsWhole_ && SameStart) {
+  const bool SameStart = Into.Sender_.Incarnation_ == Said.Sender_.Incarnation_;
+  if (!Said.HasDescriptor_)
+    Next.Sender_ = Into.Sender_;
+  if (!Said.IsFull_ && SameStart) {
     Next.Demands_ = std::move(Into.Demands_);
     for (const CustomerDemand &Told : Said.Demands_) {
       std::erase_if(Next.Demands_, [&Told](const CustomerDemand &Each) {
@@ -21,29 +21,29 @@
     }
   }
   // Not every heartbeat names the hosts that are heard.
-  if (Next.Hears_.empty() && SameStart)
-    Next.Hears_ = std::move(Into.Hears_);
+  if (Next.LivePeers_.empty() && SameStart)
+    Next.LivePeers_ = std::move(Into.LivePeers_);
   Into = std::move(Next);
 }
 
-bool HostBook::heard(const Heartbeat &Said, base::TimePoint Now) {
-  if (Said.From_.Host_ == Self_.Host_)
+bool HostTable::receive(const Heartbeat &Said, base::TimePoint Now) {
+  if (Said.Sender_.Host_ == Self_.Host_)
     return false;
   const std::lock_guard Guard(Lock_);
   // Where it is does not follow from what was told by an earlier start.
-  const auto Before = Known_.find(Said.From_.Host_);
-  if (!Said.HasCard_ &&
+  const auto Before = Known_.find(Said.Sender_.Host_);
+  if (!Said.HasDescriptor_ &&
       (Before == Known_.end() ||
-       Before->second.Last_.From_.Start_ != Said.From_.Start_))
+       Before->second.Last_.Sender_.Incarnation_ != Said.Sender_.Incarnation_))
     return false;
-  const auto [Found, New] = Known_.try_emplace(Said.From_.Host_);
+  const auto [Found, New] = Known_.try_emplace(Said.Sender_.Host_);
   Known &Stored = Found->second;
   const Heartbeat &Last = Stored.Last_;
   // Datagrams overtake each other, and one of an earlier start may come late.
   // After silence anything counts: the host's time of day may have gone back.
   if (!New && isAlive(Stored, Now) &&
-      (Said.From_.Start_ < Last.From_.Start_ ||
-       (Said.From_.Start_ == Last.From_.Start_ &&
+      (Said.Sender_.Incarnation_ < Last.Sender_.Incarnation_ ||
+       (Said.Sender_.Incarnation_ == Last.Sender_.Incarnation_ &&
         Said.Sequence_ <= Last.Sequence_)))
     return false;
   const bool Told = New || !isAlive(Stored, Now) ||
@@ -54,19 +54,19 @@
   return Told;
 }
 
-void HostBook::setListed(std::span<const ListedHost> Hosts) {
+void HostTable::setListed(std::span<const ListedHost> Hosts) {
   const std::lock_guard Guard(Lock_);
   Listed_.clear();
   for (const ListedHost &Each : Hosts)
     Listed_[Each.Address_] = Each.Region_;
 }
 
-void HostBook::addSeeds(std::span<const std::string> Addresses) {
+void HostTable::addSeeds(std::span<const std::string> Addresses) {
   const std::lock_guard Guard(Lock_);
   Seeds_.insert(Addresses.begin(), Addresses.end());
 }
 
-std::vector<std::string> HostBook::recipients(base::TimePoint Now) const {
+std::vector<std::string> HostTable::recipients(base::TimePoint Now) const {
   const std::lock_guard Guard(Lock_);
   std::set<std::string> All = Seeds_;
   for (const auto &[Address, Region] : Listed_)
@@ -74,10 +74,10 @@
       All.insert(Address);
   for (const auto &[Host, Each] : Known_) {
     if (Now - Each.HeardAt_ < RememberedFor)
-      All.insert(Each.Last_.From_.Address_);
+      All.insert(Each.Last_.Sender_.Address_);
     // Hosts that live ones hear are live, too, whatever the store says.
     if (isAlive(Each, Now))
-      All.insert(Each.Last_.Hears_.begin(), Each.Last_.Hears_.end());
+      All.insert(Each.Last_.LivePeers_.begin(), Each.Last_.LivePeers_.end());
   }
   All.erase(Self_.Address_);
   for (const auto &[Address, Region] : Listed_)
@@ -89,12 +89,12 @@
   return {All.begin(), All.end()};
 }
 
-std::vector<HostView> HostBook::others(base::TimePoint Now) const {
+std::vector<HostView> HostTable::others(base::TimePoint Now) const {
   const std::lock_guard Guard(Lock_);
   std::vector<HostView> All;
   for (const auto &[Host, Each] : Known_)
     if (isNear(Each) && Now - Each.HeardAt_ < RememberedFor)
-      All.push_back({Each.Last_.From_, Each.Last_.Ready_, Each.Last_.Leaving_,
+      All.push_back({Each.Last_.Sender_, Each.Last_.Ready_, Each.Last_.Leaving_,
                      isAlive(Each, Now), Now - Each.HeardAt_ < ReservedFor,
                      Each.Last_.StoreTrouble_, Each.Last_.Demands_,
                      Each.Last_.Loads_});
@@ -110,11 +110,11 @@
   return All;
 }
 
-bool HostBook::isAlive(const Known &Each, base::TimePoint Now) noexcept {
+bool HostTable::isAlive(const Known &Each, base::TimePoint Now) noexcept {
   return Now - Each.HeardAt_ < AliveFor;
 }
 
-bool HostBook::isCutOff(base::TimePoint Now) const {
+bool HostTable::isCutOff(base::TimePoint Now) const {
   const std::lock_guard Guard(Lock_);
   std::size_t Lately = 0;
   std::size_t Alive = 0;
@@ -131,7 +131,7 @@
   return Lately > 0 && Alive * 2 < Lately;
 }
 
-std::size_t HostBook::shareHolders(base::TimePoint Now) const {
+std::size_t HostTable::shareHolders(base::TimePoint Now) const {
   const std::lock_guard Guard(Lock_);
   std::size_t Holders = 1;
   for (const auto &[Host, Each] : Known_)
@@ -141,25 +141,25 @@
   return Holders;
 }
 
-bool HostBook::isPickedFor(std::uint64_t Matter, base::TimePoint Now) const {
+bool HostTable::isElectedFor(std::uint64_t Matter, base::TimePoint Now) const {
   const std::uint64_t Own = base::stableHash(Self_.Host_.name(), Matter);
   const std::vector<HostView> All = others(Now);
   return std::none_of(All.begin(), All.end(), [&](const HostView &Each) {
     return Each.Alive_ && Each.Ready_ && !Each.Leaving_ &&
-           base::stableHash(Each.Card_.Host_.name(), Matter) > Own;
+           base::stableHash(Each.Descriptor_.Host_.name(), Matter) > Own;
   });
 }
 
 // Speaking for the region.
 
-bool HostBook::heardNews(const RegionNews &Said, base::TimePoint Now) {
+bool HostTable::heardNews(const RegionUpdate &Said, base::TimePoint Now) {
   if (Said.Region_ == Self_.Region_)
     return false;
   const std::lock_guard Guard(Lock_);
   return Regions_.heard(Said, Now);
 }
 
-std::vector<std::string> HostBook::firstOf(std::vector<Candidate> All) {
+std::vector<std::string> HostTable::firstOf(std::vector<Candidate> All) {
   std::sort(All.begin(), All.end(),
             [](const Candidate &Left, const Candidate &Right) {
               return Left.Hash_ > Right.Hash_;
@@ -172,19 +172,19 @@
   return Addresses;
 }
 
-std::vector<std::string> HostBook::ownSpeakers(bool OwnLeaving,
-                                               base::TimePoint Now) const {
+std::vector<std::string> HostTable::ownSpeakers(bool OwnLeaving,
+                                                base::TimePoint Now) const {
   std::vector<Candidate> All;
   if (!OwnLeaving)
     All.push_back({speakerRank(Self_.Host_), Self_.Address_});
   for (const auto &[Host, Each] : Known_)
     if (isNear(Each) && isAlive(Each, Now) && !Each.Last_.Leaving_)
-      All.push_back({speakerRank(Host), Each.Last_.From_.Address_});
+      All.push_back({speakerRank(Host), Each.Last_.Sender_.Address_});
   return firstOf(std::move(All));
 }
 
-bool HostBook::isSpeaker(bool OwnLeaving, base::Duration OwnAge,
-                         base::TimePoint Now) const {
+bool HostTable::isSpeaker(bool OwnLeaving, base::Duration OwnAge,
+                          base::TimePoint Now) const {
   const std::lock_guard Guard(Lock_);
   const bool HearsSettled =
       std::any_of(Known_.begin(), Known_.end(), [&](const auto &Each) {
@@ -197,15 +197,15 @@
   return std::find(All.begin(), All.end(), Self_.Address_) != All.end();
 }
 
-std::vector<std::string> HostBook::passOnTo(const std::string &Sender,
-                                            bool OwnLeaving,
-                                            base::TimePoint Now) const {
+std::vector<std::string> HostTable::passOnTo(const std::string &Sender,
+                                             bool OwnLeaving,
+                                             base::TimePoint Now) const {
   const std::lock_guard Guard(Lock_);
   std::vector<std::string> Speakers = ownSpeakers(OwnLeaving, Now);
   std::set<std::string> Others;
   for (const auto &[Host, Each] : Known_)
     if (isNear(Each) && isAlive(Each, Now))
-      Others.insert(Each.Last_.From_.Address_);
+      Others.insert(Each.Last_.Sender_.Address_);
   if (std::erase(Speakers, Self_.Address_) == 0)
     return Others.contains(Sender) ? std::vector<std::string>() : Speakers;
   // The other speakers are told directly, too, and pass it on themselves.
@@ -214,7 +214,7 @@
   return {Others.begin(), Others.end()};
 }
 
-std::vector<std::string> HostBook::farSpeakers(base::TimePoint Now) const {
+std::vector<std::string> HostTable::farSpeakers(base::TimePoint Now) const {
   const std::lock_guard Guard(Lock_);
   std::map<base::RegionId, std::vector<Candidate>> Regions;
   for (const FarHost &Each : Regions_.hosts(ReservedFor, Now))
@@ -239,13 +239,13 @@
   // Hosts that the store does not list are known by their heartbeats alone.
   for (const auto &[Host, Each] : Known_)
     if (!isNear(Each) && Now - Each.HeardAt_ < RememberedFor &&
-        !Regions.contains(Each.Last_.From_.Region_))
-      All.insert(Each.Last_.From_.Address_);
+        !Regions.contains(Each.Last_.Sender_.Region_))
+      All.insert(Each.Last_.Sender_.Address_);
   return {All.begin(), All.end()};
 }
 
-RegionSummary HostBook::summary(const OwnSummary &Own,
-                                base::TimePoint Now) const {
+RegionSummary HostTable::summary(const LocalHostSummary &Own,
+                                 base::TimePoint Now) const {
   const std::lock_guard Guard(Lock_);
   RegionSummary Made;
   std::map<base::CustomerId, double> Demands;
@@ -266,7 +266,7 @@
       continue;
     const bool Alive = isAlive(Each, Now);
     Made.Hosts_.push_back(
-        {Each.Last_.From_, Each.Last_.Ready_, Each.Last_.Leaving_, !Alive});
+        {Each.Last_.Sender_, Each.Last_.Ready_, Each.Last_.Leaving_, !Alive});
     if (Now - Each.HeardAt_ < ReservedFor)
       Add(Each.Last_.Demands_);
     if (Alive)
@@ -280,7 +280,7 @@
   return Made;
 }
 
-std::vector<RegionView> HostBook::regions(base::TimePoint Now) const {
+std::vector<RegionView> HostTable::regions(base::TimePoint Now) const {
   const std::lock_guard Guard(Lock_);
   return Regions_.regions(ReservedFor, Now);
 }
--- a/libs/members/HostBook.h
+++ b/libs/members/HostTable.h
@@ -1,5 +1,5 @@
-#ifndef LYCHEE_MEMBERS_HOSTBOOK_H
-#define LYCHEE_MEMBERS_HOSTBOOK_H
+#ifndef LYCHEE_MEMBERS_HOSTTABLE_H
+#define LYCHEE_MEMBERS_HOSTTABLE_H
 
 #include "members/Heartbeat.h"
 #include "members/RegionBook.h"
@@ -14,7 +14,7 @@
 
 /// A host as others see it.
 struct HostView {
-  HostCard Card_;
+  HostDescriptor Descriptor_;
   bool Ready_ = false;
   bool Leaving_ = false;
   /// Heard lately; look-ups may name it.
@@ -36,7 +36,7 @@
 };
 
 /// What a host tells of itself to those that speak for its region.
-struct OwnSummary {
+struct LocalHostSummary {
   bool Ready_ = false;
   bool Leaving_ = false;
   std::vector<CustomerDemand> Demands_;
@@ -57,7 +57,7 @@
 /// nothing grows with hosts x hosts between regions. \see RegionBook
 ///
 /// Thread-safe.
-class HostBook {
+class HostTable {
 public:
   /// Four heartbeats of 500 ms: datagrams are lost now and then, four in a row
   /// of 3% lossy ones once in a million.
@@ -71,11 +71,11 @@
   /// it but where the store's list still names it.
   static constexpr base::Duration RememberedFor = std::chrono::seconds(30);
 
-  explicit HostBook(HostCard Self) : Self_(std::move(Self)) {}
+  explicit HostTable(HostDescriptor Self) : Self_(std::move(Self)) {}
 
   /// Takes a heartbeat. \returns whether a host was heard for the first time,
   /// or anew after silence, or changed its readiness.
-  bool heard(const Heartbeat &Said, base::TimePoint Now);
+  bool receive(const Heartbeat &Said, base::TimePoint Now);
 
   /// Hosts that the store lists; heartbeats go to them, too.
   void setListed(std::span<const ListedHost> Hosts);
@@ -87,7 +87,7 @@
 
   /// Takes what a speaker of another region tells. \returns whether it is to be
   /// passed on.
-  bool heardNews(const RegionNews &Said, base::TimePoint Now);
+  bool heardNews(const RegionUpdate &Said, base::TimePoint Now);
 
   /// A host that has just started knows its region in part only. Told as the
   /// whole, that makes other regions take the rest of each rate for theirs, and
@@ -104,7 +104,7 @@
   bool isSpeaker(bool OwnLeaving, base::Duration OwnAge,
                  base::TimePoint Now) const;
   /// \returns what to tell them.
-  RegionSummary summary(const OwnSummary &Own, base::TimePoint Now) const;
+  RegionSummary summary(const LocalHostSummary &Own, base::TimePoint Now) const;
   /// \returns the addresses of other regions' speakers, or of some hosts of
   /// regions whose speakers are not known.
   std::vector<std::string> farSpeakers(base::TimePoint Now) const;
@@ -131,9 +131,9 @@
 
   /// \returns whether this host is the one that all hosts pick for \p Matter,
   /// by highest hash among the hosts that are alive and serve.
-  bool isPickedFor(std::uint64_t Matter, base::TimePoint Now) const;
+  bool isElectedFor(std::uint64_t Matter, base::TimePoint Now) const;
 
-  const HostCard &self() const noexcept { return Self_; }
+  const HostDescriptor &self() const noexcept { return Self_; }
 
 private:
   struct Known {
@@ -149,7 +149,7 @@
 
   static bool isAlive(const Known &Each, base::TimePoint Now) noexcept;
   bool isNear(const Known &Each) const {
-    return Each.Last_.From_.Region_ == Self_.Region_;
+    return Each.Last_.Sender_.Region_ == Self_.Region_;
   }
   /// \returns the addresses of the first by hash.
   static std::vector<std::string> firstOf(std::vector<Candidate> All);
@@ -158,7 +158,7 @@
   /// Takes what changed since the last whole heartbeat into what is known.
   static void take(const Heartbeat &Said, Heartbeat &Into);
 
-  const HostCard Self_;
+  const HostDescriptor Self_;
   mutable std::mutex Lock_;
   std::map<base::HostId, Known> Known_;
   /// By address.
--- a/libs/members/MessageRows.cpp
+++ b/libs/members/MessageRows.cpp
@@ -98,8 +98,8 @@
   return true;
 }
 
-void addTimes(std::span<const RuleTimes> All, Json::Value &Into) {
-  for (const RuleTimes &Each : All) {
+void addTimes(std::span<const RuleExecutionTimes> All, Json::Value &Into) {
+  for (const RuleExecutionTimes &Each : All) {
     Json::Value Row(Json::arrayValue);
     Row.append(Each.Rule_);
     for (const double Seconds :
@@ -109,11 +109,11 @@
   }
 }
 
-bool readTimes(const Json::Value &Rows, std::vector<RuleTimes> &Into) {
+bool readTimes(const Json::Value &Rows, std::vector<RuleExecutionTimes> &Into) {
   for (const Json::Value &Row : Rows) {
     if (!Row.isArray() || Row.size() != 4 || !Row[0].isString())
       return false;
-    RuleTimes Read;
+    RuleExecutionTimes Read;
     Read.Rule_ = Row[0].asString();
     for (Json::ArrayIndex Column = 1; Column < 4; ++Column)
       if (!Row[Column].isInt64())
--- a/libs/members/MessageRows.h
+++ b/libs/members/MessageRows.h
@@ -22,8 +22,8 @@
 
 bool readDemands(const Json::Value &Rows, std::vector<CustomerDemand> &Into);
 bool readLoads(const Json::Value &Rows, std::vector<ServiceDemand> &Into);
-void addTimes(std::span<const RuleTimes> All, Json::Value &Into);
-bool readTimes(const Json::Value &Rows, std::vector<RuleTimes> &Into);
+void addTimes(std::span<const RuleExecutionTimes> All, Json::Value &Into);
+bool readTimes(const Json::Value &Rows, std::vector<RuleExecutionTimes> &Into);
 bool readEvidence(const Json::Value &Rows,
                   std::vector<retrying::CrashEvidence> &Into);
 
--- a/libs/members/RegionBook.cpp
+++ b/libs/members/RegionBook.cpp
@@ -10,7 +10,7 @@
   return base::stableHash(Host.name(), Matter);
 }
 
-bool RegionBook::follows(const Region &Known, const RegionNews &Said,
+bool RegionBook::follows(const Region &Known, const RegionUpdate &Said,
                          base::TimePoint Now) {
   if (Now - Known.HeardAt_ >= SpeakerPatience)
     return true;
@@ -24,7 +24,7 @@
   return Known.Sequence_ < Said.Sequence_;
 }
 
-bool RegionBook::heard(const RegionNews &Said, base::TimePoint Now) {
+bool RegionBook::heard(const RegionUpdate &Said, base::TimePoint Now) {
   const auto [Found, New] = Known_.try_emplace(Said.Region_);
   Region &Known = Found->second;
   if (!New && !follows(Known, Said, Now))
@@ -33,7 +33,7 @@
   Known.Start_ = Said.Start_;
   Known.Sequence_ = Said.Sequence_;
   Known.HeardAt_ = Now;
-  take(Said.Told_, Known, Now);
+  take(Said.Summary_, Known, Now);
   return true;
 }
 
--- a/libs/members/RegionBook.h
+++ b/libs/members/RegionBook.h
@@ -1,7 +1,7 @@
 #ifndef LYCHEE_MEMBERS_REGIONBOOK_H
 #define LYCHEE_MEMBERS_REGIONBOOK_H
 
-#include "members/RegionNews.h"
+#include "members/RegionUpdate.h"
 
 #include <map>
 
@@ -37,11 +37,11 @@
 /// followed and the other only once the first has fallen silent: sums that come
 /// now from one and now from the other would move without a change.
 ///
-/// Not thread-safe. \see HostBook, which owns it
+/// Not thread-safe. \see HostTable, which owns it
 class RegionBook {
 public:
   /// A region whose two speakers die together tells nothing until others notice
-  /// (HostBook::AliveFor) and speak: 3 s at most, with a lost datagram or two.
+  /// (HostTable::AliveFor) and speak: 3 s at most, with a lost datagram or two.
   static constexpr base::Duration AliveFor = std::chrono::seconds(4);
   /// Three news of a speaker.
   static constexpr base::Duration SpeakerPatience =
@@ -52,7 +52,7 @@
 
   /// Takes news of a region. \returns whether they are to be passed on: they
   /// were not known, and their speaker is the one to follow.
-  bool heard(const RegionNews &Said, base::TimePoint Now);
+  bool heard(const RegionUpdate &Said, base::TimePoint Now);
 
   /// \param ReservedFor  how long a silent region may still spend its part.
   std::vector<RegionView> regions(base::Duration ReservedFor,
@@ -71,7 +71,7 @@
     std::vector<ServiceDemand> Loads_;
   };
 
-  static bool follows(const Region &Known, const RegionNews &Said,
+  static bool follows(const Region &Known, const RegionUpdate &Said,
                       base::TimePoint Now);
   static void take(const RegionSummary &Told, Region &Into,
                    base::TimePoint Now);
--- a/libs/members/RegionExchange.cpp
+++ b/libs/members/RegionExchange.cpp
@@ -24,9 +24,9 @@
 } // namespace
 
 RegionExchange::RegionExchange(const asio::any_io_executor &Executor,
-                               HostBook &Book,
+                               HostTable &Book,
                                const settings::Endpoint &Heartbeats,
-                               Parts Others)
+                               Callbacks Others)
     : Book_(Book), Listen_(nextPort(Heartbeats)), Others_(std::move(Others)),
       Begun_(SystemClock::monotonicNow()), Socket_(Executor), Timer_(Executor),
       Sender_(Socket_, Listen_.Port_) {}
@@ -35,21 +35,21 @@
   return openDatagramSocket(Socket_, Listen_, "region-news.listen", Last);
 }
 
-void RegionExchange::sayNow(base::TimePoint Now) {
+void RegionExchange::sendNow(base::TimePoint Now) {
   if (!Book_.isSpeaker(Others_.IsLeaving_(), Now - Begun_, Now))
     return;
-  RegionNews Said;
+  RegionUpdate Said;
   Said.Region_ = Book_.self().Region_;
   Said.Speaker_ = Book_.self().Host_;
-  Said.Start_ = Book_.self().Start_;
+  Said.Start_ = Book_.self().Incarnation_;
   Said.Sequence_ = ++Sequence_;
-  Said.Told_ = Teller_.tell(Book_.summary(Others_.Say_(Now), Now));
+  Said.Summary_ = Teller_.tell(Book_.summary(Others_.Say_(Now), Now));
   Sender_.send(encodeRegionNews(Said), Book_.farSpeakers(Now));
 }
 
 asio::awaitable<void> RegionExchange::sendAll() {
   while (true) {
-    sayNow(SystemClock::monotonicNow());
+    sendNow(SystemClock::monotonicNow());
     Timer_.expires_after(Pace);
     co_await Timer_.async_wait(AsTuple);
   }
@@ -59,7 +59,7 @@
                           const asio::ip::address &Sender,
                           base::TimePoint Now) {
   base::Error Unreadable;
-  const std::optional<RegionNews> Said = decodeRegionNews(Text, Unreadable);
+  const std::optional<RegionUpdate> Said = decodeRegionNews(Text, Unreadable);
   if (!Said || !Book_.heardNews(*Said, Now))
     return;
   Others_.Hear_(*Said, Now);
--- a/libs/members/RegionExchange.h
+++ b/libs/members/RegionExchange.h
@@ -1,7 +1,7 @@
 #ifndef LYCHEE_MEMBERS_REGIONEXCHANGE_H
 #define LYCHEE_MEMBERS_REGIONEXCHANGE_H
 
-#include "members/HostBook.h"
+#include "members/HostTable.h"
 #include "members/PacedSender.h"
 #include "members/RegionTeller.h"
 #include "settings/DaemonSettings.h"
@@ -17,25 +17,25 @@
 /// Tells the speakers of other regions what this host knows of its own, where
 /// it is a speaker itself, and passes on to its region what theirs tell.
 ///
-/// \see HostBook, HeartbeatExchange
+/// \see HostTable, HeartbeatExchange
 class RegionExchange {
 public:
   static constexpr std::chrono::milliseconds Pace{500};
   static constexpr std::size_t MostBytes = 16UL * 1024;
 
-  struct Parts {
+  struct Callbacks {
     /// \returns what this host has to tell of itself.
-    std::function<OwnSummary(base::TimePoint)> Say_;
+    std::function<LocalHostSummary(base::TimePoint)> Say_;
     /// \returns whether this host was told to stop.
     std::function<bool()> IsLeaving_;
     /// Hears news that were not known.
-    std::function<void(const RegionNews &, base::TimePoint)> Hear_;
+    std::function<void(const RegionUpdate &, base::TimePoint)> Hear_;
   };
 
   /// \param Book  outlives this. \param Heartbeats  where heartbeats come in;
   /// news come by the next port, which all hosts use.
-  RegionExchange(const boost::asio::any_io_executor &Executor, HostBook &Book,
-                 const settings::Endpoint &Heartbeats, Parts Others);
+  RegionExchange(const boost::asio::any_io_executor &Executor, HostTable &Book,
+                 const settings::Endpoint &Heartbeats, Callbacks Others);
   RegionExchange(const RegionExchange &) = delete;
   RegionExchange &operator=(const RegionExchange &) = delete;
 
@@ -47,15 +47,15 @@
   boost::asio::awaitable<void> receiveAll();
 
   /// Tells other regions now, besides the steady news.
-  void sayNow(base::TimePoint Now);
+  void sendNow(base::TimePoint Now);
 
 private:
   void take(std::string_view Text, const boost::asio::ip::address &Sender,
             base::TimePoint Now);
 
-  HostBook &Book_;
+  HostTable &Book_;
   const settings::Endpoint Listen_;
-  const Parts Others_;
+  const Callbacks Others_;
   const base::TimePoint Begun_;
   boost::asio::ip::udp::socket Socket_;
   boost::asio::steady_timer Timer_;
--- a/libs/members/RegionTeller.cpp
+++ b/libs/members/RegionTeller.cpp
@@ -1,7 +1,7 @@
 #include "members/RegionTeller.h"
 
 #include "base/Hash.h"
-#include "members/DemandTeller.h"
+#include "members/DemandDeltaEncoder.h"
 
 #include <algorithm>
 #include <cmath>
@@ -56,8 +56,8 @@
   for (const auto &[Customer, PerSecond] : All) {
     ToldDemand &Told = Demands_[Customer];
     const double Change = std::abs(PerSecond - Told.PerSecond_);
-    if (Change >
-        DemandTeller::Noise + DemandTeller::NoisePart * Told.PerSecond_)
+    if (Change > DemandDeltaEncoder::Noise +
+                     DemandDeltaEncoder::NoisePart * Told.PerSecond_)
       Told.Left_ = Repeats;
     const bool IsDue = Told.Left_ > 0 || isInTurn(Customer.name());
     if (!IsDue || Made.size() >= MostDemands)
--- a/libs/members/RegionTeller.h
+++ b/libs/members/RegionTeller.h
@@ -1,7 +1,7 @@
 #ifndef LYCHEE_MEMBERS_REGIONTELLER_H
 #define LYCHEE_MEMBERS_REGIONTELLER_H
 
-#include "members/RegionNews.h"
+#include "members/RegionUpdate.h"
 
 #include <map>
 
--- a/libs/members/RegionNews.cpp
+++ b/libs/members/RegionUpdate.cpp
@@ -1,4 +1,4 @@
-#include "members/RegionNews.h"
+#include "members/RegionUpdate.h"
 
 #include "members/MessageRows.h"
 
@@ -22,8 +22,8 @@
   Row.append(Each.Card_.Host_.name());
   Row.append(Each.Card_.Zone_.name());
   Row.append(Each.Card_.Address_);
-  Row.append(Each.Card_.Callers_);
-  Row.append(Json::UInt64(Each.Card_.Start_));
+  Row.append(Each.Card_.CallerAddress_);
+  Row.append(Json::UInt64(Each.Card_.Incarnation_));
   Row.append(stateOf(Each));
   return Row;
 }
@@ -50,25 +50,25 @@
 
 } // namespace
 
-std::string encodeRegionNews(const RegionNews &Said) {
+std::string encodeRegionNews(const RegionUpdate &Said) {
   Json::Value Text;
   Text["region"] = Said.Region_.name();
   Text["speaker"] = Said.Speaker_.name();
   Text["start"] = Json::UInt64(Said.Start_);
   Text["n"] = Json::UInt64(Said.Sequence_);
-  for (const HostLine &Each : Said.Told_.Hosts_)
+  for (const HostLine &Each : Said.Summary_.Hosts_)
     Text["hosts"].append(rowOf(Each));
-  if (!Said.Told_.Demands_.empty())
-    addDemands(Said.Told_.Demands_, Text["demands"]);
-  if (!Said.Told_.Loads_.empty())
-    addLoads(Said.Told_.Loads_, Text["loads"]);
-  if (!Said.Told_.Evidence_.empty())
-    addEvidence(Said.Told_.Evidence_, Text["crashes"]);
+  if (!Said.Summary_.Demands_.empty())
+    addDemands(Said.Summary_.Demands_, Text["demands"]);
+  if (!Said.Summary_.Loads_.empty())
+    addLoads(Said.Summary_.Loads_, Text["loads"]);
+  if (!Said.Summary_.Evidence_.empty())
+    addEvidence(Said.Summary_.Evidence_, Text["crashes"]);
   return textOf(Text);
 }
 
-std::optional<RegionNews> decodeRegionNews(std::string_view Text,
-                                           base::Error &Last) {
+std::optional<RegionUpdate> decodeRegionNews(std::string_view Text,
+                                             base::Error &Last) {
   Last = {"region-news.decode", "", ""};
   const std::optional<Json::Value> Object = objectOf(Text, Last);
   if (!Object)
@@ -78,15 +78,15 @@
   if (!Said["region"].isString() || !Said["speaker"].isString() ||
       !Said["start"].isUInt64() || !Said["n"].isUInt64())
     return std::nullopt;
-  RegionNews Read;
+  RegionUpdate Read;
   Read.Region_ = base::RegionId(Said["region"].asString());
   Read.Speaker_ = base::HostId(Said["speaker"].asString());
   Read.Start_ = Said["start"].asUInt64();
   Read.Sequence_ = Said["n"].asUInt64();
-  if (!readHosts(Said["hosts"], Read.Region_, Read.Told_.Hosts_) ||
-      !readDemands(Said["demands"], Read.Told_.Demands_) ||
-      !readLoads(Said["loads"], Read.Told_.Loads_) ||
-      !readEvidence(Said["crashes"], Read.Told_.Evidence_))
+  if (!readHosts(Said["hosts"], Read.Region_, Read.Summary_.Hosts_) ||
+      !readDemands(Said["demands"], Read.Summary_.Demands_) ||
+      !readLoads(Said["loads"], Read.Summary_.Loads_) ||
+      !readEvidence(Said["crashes"], Read.Summary_.Evidence_))
     return std::nullopt;
   return Read;
 }
--- a/libs/members/RegionNews.h
+++ b/libs/members/RegionUpdate.h
@@ -1,5 +1,5 @@
-#ifndef LYCHEE_MEMBERS_REGIONNEWS_H
-#define LYCHEE_MEMBERS_REGIONNEWS_H
+#ifndef LYCHEE_MEMBERS_REGIONUPDATE_H
+#define LYCHEE_MEMBERS_REGIONUPDATE_H
 
 #include "members/Heartbeat.h"
 
@@ -7,7 +7,7 @@
 
 /// A host as the speakers of its region see it.
 struct HostLine {
-  HostCard Card_;
+  HostDescriptor Card_;
   bool Ready_ = false;
   bool Leaving_ = false;
   /// Silent, or ended.
@@ -28,21 +28,21 @@
 
 /// What a region's speaker tells other regions: what has changed, and in turn
 /// what stands. A datagram each. \see RegionTeller, RegionBook
-struct RegionNews {
+struct RegionUpdate {
   base::RegionId Region_;
   base::HostId Speaker_;
   /// Rises with each start of the speaker.
   std::uint64_t Start_ = 0;
   /// Rises with each news of a start.
   std::uint64_t Sequence_ = 0;
-  RegionSummary Told_;
+  RegionSummary Summary_;
 };
 
-std::string encodeRegionNews(const RegionNews &Said);
+std::string encodeRegionNews(const RegionUpdate &Said);
 
 /// \returns nothing, and \p Last filled, where \p Text is no such news.
-std::optional<RegionNews> decodeRegionNews(std::string_view Text,
-                                           base::Error &Last);
+std::optional<RegionUpdate> decodeRegionNews(std::string_view Text,
+                                             base::Error &Last);
 
 } // namespace lychee::members
 
--- a/libs/members/TokenExchange.cpp
+++ b/libs/members/TokenExchange.cpp
@@ -11,7 +11,7 @@
 
 TokenExchange::TokenExchange(const asio::any_io_executor &Executor,
                              settings::Endpoint Listen, std::uint64_t Start,
-                             Parts Others)
+                             Callbacks Others)
     : Listen_(std::move(Listen)), Start_(Start), Others_(std::move(Others)),
       Socket_(Executor) {}
 
--- a/libs/members/TokenExchange.h
+++ b/libs/members/TokenExchange.h
@@ -17,7 +17,7 @@
 /// \see dispatch::RateDivision
 class TokenExchange {
 public:
-  struct Parts {
+  struct Callbacks {
     /// \returns when a token is there for another host; nothing: it took one.
     std::function<std::optional<base::Duration>(const base::CustomerId &,
                                                 base::TimePoint)>
@@ -29,9 +29,10 @@
   };
 
   /// \param Listen  where datagrams come in; all hosts use its port.
-  /// \param Start  of this host. \see HostCard
+  /// \param Start  of this host. \see HostDescriptor
   TokenExchange(const boost::asio::any_io_executor &Executor,
-                settings::Endpoint Listen, std::uint64_t Start, Parts Others);
+                settings::Endpoint Listen, std::uint64_t Start,
+                Callbacks Others);
   TokenExchange(const TokenExchange &) = delete;
   TokenExchange &operator=(const TokenExchange &) = delete;
 
@@ -55,7 +56,7 @@
 
   const settings::Endpoint Listen_;
   const std::uint64_t Start_;
-  const Parts Others_;
+  const Callbacks Others_;
   boost::asio::ip::udp::socket Socket_;
   std::array<char, MostBytes> Received_{};
 };
--- a/libs/relaying/FreshnessPace.h
+++ b/libs/relaying/FreshnessTimeouts.h
@@ -1,5 +1,5 @@
-#ifndef LYCHEE_RELAYING_FRESHNESSPACE_H
-#define LYCHEE_RELAYING_FRESHNESSPACE_H
+#ifndef LYCHEE_RELAYING_FRESHNESSTIMEOUTS_H
+#define LYCHEE_RELAYING_FRESHNESSTIMEOUTS_H
 
 #include "base/Time.h"
 
@@ -11,11 +11,11 @@
 /// the watch that should tell of it to the host that asks since nobody did.
 /// Each span leaves room for the next: a call, the answer to a question, and
 /// the pace at which hosts look. \see RelayRole, live::ObjectFollower
-struct FreshnessPace {
+struct FreshnessTimeouts {
   /// Length of a watch: the store is known to have answered so often.
   base::Duration Watch_{};
   /// A watch that is silent for so much longer has ended unheard.
-  base::Duration Patience_{};
+  base::Duration WatchGrace_{};
   /// News older than this: who told them is passed over for the next in line.
   base::Duration PassOver_{};
   /// News older than this: the first host asks itself.
@@ -25,7 +25,8 @@
 };
 
 /// \param ChangeInForce  the time in which a change must be in force.
-inline FreshnessPace freshnessPaceFor(base::Duration ChangeInForce) noexcept {
+inline FreshnessTimeouts
+freshnessTimeoutsFor(base::Duration ChangeInForce) noexcept {
   // Changes of targets and zones come the same way, and may have less time.
   constexpr base::Duration Longest = std::chrono::seconds(4);
   const double Seconds = base::toSeconds(std::min(ChangeInForce, Longest));
--- a/libs/relaying/CopyAllowance.cpp
+++ b/libs/relaying/RelayCopyLimiter.cpp
@@ -1,9 +1,9 @@
-#include "relaying/CopyAllowance.h"
+#include "relaying/RelayCopyLimiter.h"
 
 namespace lychee::relaying {
 
-bool CopyAllowance::take(std::size_t Bytes, bool Refused,
-                         base::TimePoint Now) noexcept {
+bool RelayCopyLimiter::tryAcquire(std::size_t Bytes, bool Refused,
+                                  base::TimePoint Now) noexcept {
   if (Bytes <= SmallBytes)
     return true;
   if (!Refused || Now < FreeAt_)
--- a/libs/relaying/CopyAllowance.h
+++ b/libs/relaying/RelayCopyLimiter.h
@@ -1,5 +1,5 @@
-#ifndef LYCHEE_RELAYING_COPYALLOWANCE_H
-#define LYCHEE_RELAYING_COPYALLOWANCE_H
+#ifndef LYCHEE_RELAYING_RELAYCOPYLIMITER_H
+#define LYCHEE_RELAYING_RELAYCOPYLIMITER_H
 
 #include "base/Time.h"
 
@@ -22,7 +22,7 @@
 /// over its own link to the store, once.
 ///
 /// Of one thread. \see RelayRole
-class CopyAllowance {
+class RelayCopyLimiter {
 public:
   static constexpr std::size_t SmallBytes = std::size_t{32} << 10;
   /// Of large changes, in all.
@@ -31,7 +31,8 @@
   /// \param Bytes  of the change as text. \param Refused  the host that asks
   /// cannot fetch it from the store.
   /// \returns whether the change is told; it counts as told then.
-  bool take(std::size_t Bytes, bool Refused, base::TimePoint Now) noexcept;
+  bool tryAcquire(std::size_t Bytes, bool Refused,
+                  base::TimePoint Now) noexcept;
 
 private:
   /// By then the large changes that were told have gone out at the bounded
--- a/libs/relaying/RelayExchange.cpp
+++ b/libs/relaying/RelayExchange.cpp
@@ -23,11 +23,12 @@
 } // namespace
 
 RelayExchange::RelayExchange(const asio::any_io_executor &Executor,
-                             RelayRole &Role, std::uint16_t Port, Parts Others)
+                             RelayRole &Role, std::uint16_t Port,
+                             Callbacks Others)
     : Executor_(Executor), Role_(Role), Port_(Port),
       Others_(std::move(Others)) {}
 
-asio::awaitable<void> RelayExchange::askAll() {
+asio::awaitable<void> RelayExchange::pollAll() {
   asio::steady_timer Timer(Executor_);
   while (true) {
     dropUnasked();
@@ -79,7 +80,7 @@
   }
   const base::TimePoint Now = SystemClock::monotonicNow();
   std::optional<base::TimePoint> Contact;
-  if (Told->Sound_ && Told->ContactAge_)
+  if (Told->IsSynced_ && Told->ContactAge_)
     Contact = AskedAt - *Told->ContactAge_;
   Role_.noteAnswer(Whom->Address_, Contact, Now);
   Others_.Take_(*Told, AskedAt, Now);
--- a/libs/relaying/RelayExchange.h
+++ b/libs/relaying/RelayExchange.h
@@ -22,10 +22,10 @@
   /// A host that has not answered by then is asked anew.
   static constexpr std::chrono::milliseconds Timeout{400};
 
-  struct Parts {
-    std::function<RelayQuestion(base::TimePoint Now)> Ask_;
-    std::function<RelayAnswer(const RelayQuestion &, base::TimePoint)> Answer_;
-    std::function<void(const RelayAnswer &, base::TimePoint AskedAt,
+  struct Callbacks {
+    std::function<RelayRequest(base::TimePoint Now)> Ask_;
+    std::function<RelayResponse(const RelayRequest &, base::TimePoint)> Answer_;
+    std::function<void(const RelayResponse &, base::TimePoint AskedAt,
                        base::TimePoint Now)>
         Take_;
     /// A host did not answer, or not so that it can be read.
@@ -35,12 +35,12 @@
 
   /// \param Role  outlives this. \param Port  of all hosts.
   RelayExchange(const boost::asio::any_io_executor &Executor, RelayRole &Role,
-                std::uint16_t Port, Parts Others);
+                std::uint16_t Port, Callbacks Others);
   RelayExchange(const RelayExchange &) = delete;
   RelayExchange &operator=(const RelayExchange &) = delete;
 
   /// Runs until the executor ends.
-  boost::asio::awaitable<void> askAll();
+  boost::asio::awaitable<void> pollAll();
 
   transport::HttpAnswer answer(const transport::HttpRequest &Asked,
                                base::TimePoint Now) const;
@@ -58,7 +58,7 @@
   const boost::asio::any_io_executor Executor_;
   RelayRole &Role_;
   const std::uint16_t Port_;
-  const Parts Others_;
+  const Callbacks Others_;
   std::map<std::string, std::shared_ptr<Peer>> Peers_;
 };
 
--- a/libs/relaying/RelayMessages.cpp
+++ b/libs/relaying/RelayMessages.cpp
@@ -48,7 +48,7 @@
 
 Json::Value newsOf(const ObjectNews &Each) {
   Json::Value Told;
-  Told["at"] = Json::UInt64(Each.Changes_.At_);
+  Told["at"] = Json::UInt64(Each.Changes_.Revision_);
   Told["newest"] = Json::UInt64(Each.Newest_);
   if (Each.MustList_)
     Told["list"] = true;
@@ -65,7 +65,7 @@
   Read.Kind_ = Kind;
   if (!Told.isObject() || !Told["at"].isUInt64() || !Told["newest"].isUInt64())
     return std::nullopt;
-  Read.Changes_.At_ = Told["at"].asUInt64();
+  Read.Changes_.Revision_ = Told["at"].asUInt64();
   Read.Newest_ = Told["newest"].asUInt64();
   Read.MustList_ = Told["list"] == Json::Value(true);
   // Rounded up: what is told must not seem fresher than it is.
@@ -82,47 +82,47 @@
 
 } // namespace
 
-std::string encodeQuestion(const RelayQuestion &Asked) {
+std::string encodeQuestion(const RelayRequest &Asked) {
   Json::Value Text;
-  if (Asked.Refused_)
+  if (Asked.StoreUnavailable_)
     Text["refused"] = true;
   for (const auto &[Kind, Revision] : Asked.Known_)
     Text["known"][Kind] = Json::UInt64(Revision);
   return textOf(Text);
 }
 
-std::string encodeAnswer(const RelayAnswer &Told) {
+std::string encodeAnswer(const RelayResponse &Told) {
   Json::Value Text;
-  Text["sound"] = Told.Sound_;
+  Text["sound"] = Told.IsSynced_;
   if (Told.ContactAge_)
     Text["contact"] = Json::Int64(base::toMilliseconds(*Told.ContactAge_));
   if (Told.TroubleAge_)
     Text["trouble"] = Json::Int64(base::toMilliseconds(*Told.TroubleAge_));
-  for (const ObjectNews &Each : Told.News_)
+  for (const ObjectNews &Each : Told.Updates_)
     Text["news"][Each.Kind_] = newsOf(Each);
   return textOf(Text);
 }
 
-std::optional<RelayQuestion> decodeQuestion(std::string_view Text,
-                                            base::Error &Last) {
+std::optional<RelayRequest> decodeQuestion(std::string_view Text,
+                                           base::Error &Last) {
   const auto Document = parse(Text, "relay.question", Last);
   if (!Document)
     return std::nullopt;
-  RelayQuestion Read;
+  RelayRequest Read;
   const Json::Value &Known = (*Document)["known"];
   if (!Known.isObject()) {
     Last = {"relay.question", "host", "known is missing or no object"};
     return std::nullopt;
   }
-  Read.Refused_ = (*Document)["refused"] == Json::Value(true);
+  Read.StoreUnavailable_ = (*Document)["refused"] == Json::Value(true);
   for (const std::string &Kind : Known.getMemberNames())
     if (Known[Kind].isUInt64())
       Read.Known_[Kind] = Known[Kind].asUInt64();
   return Read;
 }
 
-std::optional<RelayAnswer> decodeAnswer(std::string_view Text,
-                                        base::Error &Last) {
+std::optional<RelayResponse> decodeAnswer(std::string_view Text,
+                                          base::Error &Last) {
   const auto Document = parse(Text, "relay.answer", Last);
   if (!Document)
     return std::nullopt;
@@ -130,8 +130,8 @@
   const Json::Value &News = (*Document)["news"];
   if (!(*Document)["sound"].isBool() || !(News.isObject() || News.isNull()))
     return std::nullopt;
-  RelayAnswer Read;
-  Read.Sound_ = (*Document)["sound"].asBool();
+  RelayResponse Read;
+  Read.IsSynced_ = (*Document)["sound"].asBool();
   // Rounded up, as the age of news.
   if ((*Document)["contact"].isInt64())
     Read.ContactAge_ =
@@ -143,7 +143,7 @@
     auto Each = readNews(Kind, News[Kind]);
     if (!Each)
       return std::nullopt;
-    Read.News_.push_back(std::move(*Each));
+    Read.Updates_.push_back(std::move(*Each));
   }
   return Read;
 }
--- a/libs/relaying/RelayMessages.h
+++ b/libs/relaying/RelayMessages.h
@@ -2,7 +2,7 @@
 #define LYCHEE_RELAYING_RELAYMESSAGES_H
 
 #include "base/Error.h"
-#include "live/ObjectNews.h"
+#include "live/ObjectUpdate.h"
 
 #include <cstdint>
 #include <map>
@@ -15,32 +15,32 @@
 
 /// What a host asks another: what changed since the revision that it knows, for
 /// each kind of object.
-struct RelayQuestion {
+struct RelayRequest {
   std::map<std::string, std::uint64_t> Known_;
   /// The store does not answer the host that asks.
-  bool Refused_ = false;
+  bool StoreUnavailable_ = false;
 };
 
 /// What the other answers.
-struct RelayAnswer {
+struct RelayResponse {
   /// It asks the store itself, and its last calls brought what there is.
-  bool Sound_ = false;
+  bool IsSynced_ = false;
   /// How long ago a call about the intent came: how old its news may be.
   std::optional<base::Duration> ContactAge_;
   /// How long ago a call of it to the store failed; entries that are missing
-  /// right after that may come back. \see live::TargetBook
+  /// right after that may come back. \see live::TargetRegistry
   std::optional<base::Duration> TroubleAge_;
-  std::vector<live::ObjectNews> News_;
+  std::vector<live::ObjectUpdate> Updates_;
 };
 
-std::string encodeQuestion(const RelayQuestion &Asked);
-std::string encodeAnswer(const RelayAnswer &Told);
+std::string encodeQuestion(const RelayRequest &Asked);
+std::string encodeAnswer(const RelayResponse &Told);
 
 /// \returns nothing, and \p Last filled, where \p Text is no such message.
-std::optional<RelayQuestion> decodeQuestion(std::string_view Text,
-                                            base::Error &Last);
-std::optional<RelayAnswer> decodeAnswer(std::string_view Text,
-                                        base::Error &Last);
+std::optional<RelayRequest> decodeQuestion(std::string_view Text,
+                                           base::Error &Last);
+std::optional<RelayResponse> decodeAnswer(std::string_view Text,
+                                          base::Error &Last);
 
 } // namespace lychee::relaying
 
--- a/libs/relaying/RelayRole.cpp
+++ b/libs/relaying/RelayRole.cpp
@@ -22,10 +22,12 @@
     Ranked.push_back({isInTrouble(Now), base::stableHash(Self_.Host_.name()),
                       Self_.Address_});
   for (const members::HostView &Each : Others)
-    if (Each.Alive_ && !Each.Leaving_ && Each.Card_.Region_ == Self_.Region_)
-      Ranked.push_back({Each.StoreTrouble_ || isPassedOver(Each.Card_.Address_),
-                        base::stableHash(Each.Card_.Host_.name()),
-                        Each.Card_.Address_});
+    if (Each.Alive_ && !Each.Leaving_ &&
+        Each.Descriptor_.Region_ == Self_.Region_)
+      Ranked.push_back(
+          {Each.StoreTrouble_ || isPassedOver(Each.Descriptor_.Address_),
+           base::stableHash(Each.Descriptor_.Host_.name()),
+           Each.Descriptor_.Address_});
   std::sort(Ranked.begin(), Ranked.end(), goesBefore);
   RegionHosts_ = Ranked.size();
   const auto Own =
@@ -109,7 +111,7 @@
     Found->second.Contact_ = std::max(Found->second.Contact_, *Contact);
 }
 
-double RelayRole::spread(base::TimePoint Now) const noexcept {
+double RelayRole::backoffFactor(base::TimePoint Now) const noexcept {
   const bool Answered = Answered_ && Now - *Answered_ < Silence;
   if (Chosen_ || !Answered)
     return 1;
@@ -125,7 +127,7 @@
          base::fromSeconds(base::toSeconds(Pace_.AskSpread_) * Place);
 }
 
-bool RelayRole::mustAsk(base::TimePoint Now) const noexcept {
+bool RelayRole::mustReadStore(base::TimePoint Now) const noexcept {
   const bool Answered = Answered_ && Now - *Answered_ < Silence;
   return Chosen_ || !Answered || !Contact_ || Now - *Contact_ >= patience();
 }
--- a/libs/relaying/RelayRole.h
+++ b/libs/relaying/RelayRole.h
@@ -2,8 +2,8 @@
 #define LYCHEE_RELAYING_RELAYROLE_H
 
 #include "base/Time.h"
-#include "members/HostBook.h"
-#include "relaying/FreshnessPace.h"
+#include "members/HostTable.h"
+#include "relaying/FreshnessTimeouts.h"
 
 #include <cstddef>
 #include <map>
@@ -53,7 +53,7 @@
   /// A call that failed speaks against this host for so long.
   static constexpr base::Duration TroubleMemory = std::chrono::seconds(5);
 
-  RelayRole(members::HostCard Self, const FreshnessPace &Pace)
+  RelayRole(members::HostDescriptor Self, const FreshnessTimeouts &Pace)
       : Self_(std::move(Self)), Pace_(Pace) {}
 
   /// Ranks the region's hosts anew. To be called a few times a second.
@@ -66,7 +66,7 @@
     LastTrouble_ = Now;
   }
   /// A call of this host to the store came.
-  void noteCall() noexcept { Trouble_.reset(); }
+  void noteSuccess() noexcept { Trouble_.reset(); }
   /// The host at \p Address answered. \param Contact  when the store last
   /// answered it; nothing: it does not ask the store, or in vain.
   void noteAnswer(const std::string &Address,
@@ -81,9 +81,9 @@
   }
 
   /// \returns whether this host is one of the few that ask.
-  bool isChosen() const noexcept { return Chosen_; }
+  bool isReader() const noexcept { return Chosen_; }
 
-  bool mustAsk(base::TimePoint Now) const noexcept;
+  bool mustReadStore(base::TimePoint Now) const noexcept;
 
   /// Load pattern: the store refuses everybody for seconds, so nobody is told
   /// anything sound and all hosts ask it. While others answer, though they have
@@ -91,7 +91,7 @@
   /// the region asks as often as its chosen few do; those tell as soon as one
   /// of them is served.
   /// \returns by how much longer to pause.
-  double spread(base::TimePoint Now) const noexcept;
+  double backoffFactor(base::TimePoint Now) const noexcept;
 
   /// A change is known everywhere this much after an asker heard it; three
   /// questions fit into Silence.
@@ -137,8 +137,8 @@
   /// \returns how old news may be before this host asks itself.
   base::Duration patience() const noexcept;
 
-  const members::HostCard Self_;
-  const FreshnessPace Pace_;
+  const members::HostDescriptor Self_;
+  const FreshnessTimeouts Pace_;
   bool Chosen_ = true;
   std::size_t RegionHosts_ = 1;
   /// How many hosts of the region are to ask before this one.
--- a/libs/settings/DaemonSettings.h
+++ b/libs/settings/DaemonSettings.h
@@ -25,7 +25,7 @@
 
 /// What a daemon reads where intent and targets are live: told by the objects
 /// of a store that others write, and not by the operators' own tree.
-/// \see live::IntentBook
+/// \see live::ActiveIntent
 struct LiveSettings {
   /// Callers ask here which hosts to use.
   Endpoint Directory_;
--- a/tests/dispatch/DispatchSteeringTest.cpp
+++ b/tests/dispatch/DispatchSteeringTest.cpp
@@ -293,9 +293,9 @@
     Fleet.Serving_ = false;
     for (const char *Name : {"one", "two"}) {
       lychee::members::HostView View;
-      View.Card_.Host_ = base::HostId(Name);
-      View.Card_.Region_ = base::RegionId("north");
-      View.Card_.Address_ = Name;
+      View.Descriptor_.Host_ = base::HostId(Name);
+      View.Descriptor_.Region_ = base::RegionId("north");
+      View.Descriptor_.Address_ = Name;
       View.Alive_ = View.Ready_ = View.HoldsShare_ = true;
       Fleet.Others_.push_back(View);
     }
--- a/tests/dispatch/RateDivisionTest.cpp
+++ b/tests/dispatch/RateDivisionTest.cpp
@@ -1,7 +1,7 @@
 #include "dispatch/RateDivision.h"
 
 #include "base/Random.h"
-#include "members/DemandTeller.h"
+#include "members/DemandDeltaEncoder.h"
 
 #include <deque>
 #include <memory>
@@ -45,19 +45,21 @@
     Told_.resize(Count);
     Downs_.resize(Count);
     for (std::size_t Host = 0; Host < Count; ++Host)
-      Tellers_.emplace_back(ByChanges ? 0 : members::DemandTeller::AlwaysWhole);
+      Tellers_.emplace_back(
+          ByChanges ? 0 : members::DemandDeltaEncoder::AlwaysFullUpTo);
   }
 
   /// Other regions hear of a host's demand so much later than its own.
   void setFarDelay(base::Duration Delay) { FarDelay_ = Delay; }
 
   void tell() {
-    const bool Whole = ++Beat_ % members::DemandTeller::WholeEvery == 0;
+    const bool Whole = ++Beat_ % members::DemandDeltaEncoder::FullEvery == 0;
     for (std::size_t Host = 0; Host < Hosts_.size(); ++Host) {
       if (Downs_[Host])
         continue;
-      const auto Said = Tellers_[Host].tell(Hosts_[Host]->demands(Now_), Whole);
-      if (Said.IsWhole_)
+      const auto Said =
+          Tellers_[Host].encode(Hosts_[Host]->demands(Now_), Whole);
+      if (Said.IsFull_)
         Told_[Host].clear();
       for (const members::CustomerDemand &Each : Said.Demands_) {
         std::erase_if(Told_[Host], [&Each](const auto &Old) {
@@ -166,8 +168,8 @@
   }
 
 private:
-  static members::HostCard cardOf(std::size_t Host) {
-    members::HostCard Made;
+  static members::HostDescriptor cardOf(std::size_t Host) {
+    members::HostDescriptor Made;
     Made.Host_ = base::HostId("host-" + std::to_string(Host));
     Made.Region_ = base::RegionId("r" + std::to_string(Host % Regions));
     Made.Address_ = std::to_string(Host);
@@ -175,12 +177,12 @@
   }
   members::HostView viewOf(std::size_t Host) const {
     members::HostView View;
-    View.Card_ = cardOf(Host);
+    View.Descriptor_ = cardOf(Host);
     const std::optional<base::TimePoint> &Down = Downs_[Host];
     const base::Duration Silent = Down ? Now_ - *Down : base::Duration::zero();
-    View.Alive_ = Silent < members::HostBook::AliveFor;
+    View.Alive_ = Silent < members::HostTable::AliveFor;
     View.Ready_ = true;
-    View.HoldsShare_ = Silent < members::HostBook::ReservedFor;
+    View.HoldsShare_ = Silent < members::HostTable::ReservedFor;
     View.Demands_ = Told_[Host];
     return View;
   }
@@ -202,7 +204,7 @@
   base::Random Random_{7};
   std::vector<std::unique_ptr<RateDivision>> Hosts_;
   std::vector<std::vector<members::CustomerDemand>> Told_;
-  std::deque<members::DemandTeller> Tellers_;
+  std::deque<members::DemandDeltaEncoder> Tellers_;
   std::uint64_t Beat_ = 0;
   double LateAnswers_ = 0;
   base::Duration FarDelay_{};
@@ -422,8 +424,8 @@
   Heard.Regions_ = 3;
   for (int Number = 0; Number < 8; ++Number) {
     members::HostView Other;
-    Other.Card_.Host_ = base::HostId("h" + std::to_string(Number));
-    Other.Card_.Region_ = base::RegionId(Number < 2 ? "r" : "s");
+    Other.Descriptor_.Host_ = base::HostId("h" + std::to_string(Number));
+    Other.Descriptor_.Region_ = base::RegionId(Number < 2 ? "r" : "s");
     Other.HoldsShare_ = true;
     Other.Alive_ = true;
     Other.Demands_ = {{Customer, 50}};
@@ -459,7 +461,7 @@
   const auto Ask = [&] { Host.take(Customer, Now); };
   FleetDemand Heard;
   members::HostView Other;
-  Other.Card_.Host_ = base::HostId("other");
+  Other.Descriptor_.Host_ = base::HostId("other");
   Other.HoldsShare_ = true;
   Other.Demands_ = {{Customer, 90}};
   Heard.Others_.push_back(Other);
--- a/tests/live/IntentBookTest.cpp
+++ b/tests/live/IntentBookTest.cpp
@@ -1,4 +1,4 @@
-#include "live/IntentBook.h"
+#include "live/ActiveIntent.h"
 
 #include <string>
 
@@ -35,7 +35,7 @@
 } // namespace
 
 TEST_GROUP(IntentBook) {
-  live::IntentBook Book_{4700ms};
+  live::ActiveIntent Book_{4700ms};
   base::TimePoint Now_ = base::TimePoint(100s);
 
   bool offer(const live::Intent &Fresh) {
--- a/tests/live/ObjectFollowerTest.cpp
+++ b/tests/live/ObjectFollowerTest.cpp
@@ -43,7 +43,7 @@
     if (Answer != "list")
       co_return std::nullopt;
     live::ObjectBatch All;
-    All.At_ = 5;
+    All.Revision_ = 5;
     co_return All;
   }
   asio::awaitable<std::optional<live::ObjectBatch>>
@@ -59,10 +59,10 @@
       co_return std::nullopt;
     live::ObjectBatch Heard;
     Heard.Objects_.push_back({"one", 6, {}, false});
-    Heard.At_ = 6;
+    Heard.Revision_ = 6;
     co_return Heard;
   }
-  void abandonBegunBefore(base::TimePoint /*Moment*/) override {}
+  void cancelStartedBefore(base::TimePoint /*Moment*/) override {}
   asio::awaitable<bool> write(std::string_view /*Kind*/,
                               std::string_view /*Name*/,
                               Json::Value /*Content*/,
@@ -107,31 +107,31 @@
   base::TimePoint Confirmed_;
   std::function<bool(base::TimePoint)> MustAsk_;
   std::function<double(base::TimePoint)> Spread_;
-  live::FollowerPace Pace_{.Watch_ = 1s, .LongestPause_ = 10ms};
+  live::FollowerTimings Pace_{.Watch_ = 1s, .MaxBackoff_ = 10ms};
 
   /// Another host heard of a change and sends this one to the store for it.
   void takeLeftOut(std::uint64_t Revision, base::TimePoint AskedAt) const {
-    live::ObjectNews News;
+    live::ObjectUpdate News;
     News.MustList_ = true;
     News.Newest_ = Revision;
-    Follower_->takeNews(News, true, AskedAt, AskedAt);
+    Follower_->applyUpdate(News, true, AskedAt, AskedAt);
   }
 
   /// Another host tells a change, and that there is no later one.
   void takeChange(std::uint64_t Revision, base::TimePoint AskedAt) const {
-    live::ObjectNews News;
+    live::ObjectUpdate News;
     News.Changes_ = {{{"one", Revision, {}, false}}, Revision};
     News.Newest_ = Revision;
-    Follower_->takeNews(News, true, AskedAt, AskedAt);
+    Follower_->applyUpdate(News, true, AskedAt, AskedAt);
   }
 
   std::string play(std::deque<std::string> Script) {
     Source_.Script_ = std::move(Script);
-    live::FollowerListeners Heard;
+    live::FollowerCallbacks Heard;
     Heard.Changed_ = [this](const auto &) { ++Changed_; };
     Heard.Confirmed_ = [this](base::TimePoint At) { Confirmed_ = At; };
-    Heard.MustAsk_ = MustAsk_;
-    Heard.Spread_ = Spread_;
+    Heard.MustReadStore_ = MustAsk_;
+    Heard.BackoffFactor_ = Spread_;
     Heard.Trouble_ = [this](const auto &) { ++Troubles_; };
     Follower_ = std::make_unique<live::ObjectFollower>(Source_, Recovered_,
                                                        "kind", Pace_, Heard, 1);
@@ -183,9 +183,9 @@
     return 1000.0;
   };
   MustAsk_ = [this](base::TimePoint Now) {
-    live::ObjectNews Gap;
+    live::ObjectUpdate Gap;
     Gap.MustList_ = true;
-    Follower_->takeNews(Gap, true, Now, Now);
+    Follower_->applyUpdate(Gap, true, Now, Now);
     return true;
   };
   STRCMP_EQUAL("list watch list list watch ",
@@ -227,11 +227,11 @@
     ++Question;
     if (Question == 3) {
       const base::TimePoint AskedAt = base::SystemClock::monotonicNow() + 1h;
-      live::ObjectNews News;
+      live::ObjectUpdate News;
       News.Changes_ = {{{"one", 6, {}, false}}, 6};
       News.Newest_ = 6;
       News.Age_ = 2s;
-      Follower_->takeNews(News, true, AskedAt, AskedAt);
+      Follower_->applyUpdate(News, true, AskedAt, AskedAt);
       CHECK(Confirmed_ == AskedAt - 2s);
     }
     return Question != 2 && Question != 3;
@@ -249,11 +249,11 @@
     if (++Question != 2)
       return true;
     const base::TimePoint Before = Confirmed_;
-    live::ObjectNews News;
+    live::ObjectUpdate News;
     News.Changes_ = {{}, 9};
     News.Newest_ = 8;
     News.Age_ = 0s;
-    Follower_->takeNews(News, true, Before + 1h, Before + 1h);
+    Follower_->applyUpdate(News, true, Before + 1h, Before + 1h);
     CHECK(Confirmed_ == Before);
     return false;
   };
@@ -267,9 +267,9 @@
   int Question = 0;
   MustAsk_ = [&](base::TimePoint) {
     if (++Question == 2) {
-      live::ObjectNews News;
+      live::ObjectUpdate News;
       News.MustList_ = true;
-      Follower_->takeNews(News, false, Confirmed_, Confirmed_);
+      Follower_->applyUpdate(News, false, Confirmed_, Confirmed_);
     }
     if (Question == 4)
       Loop_.stop();
@@ -283,14 +283,14 @@
 // given up soon after it should have ended; but not where the store is slow and
 // answers late, since then every watch would be given up.
 TEST(ObjectFollower, aWatchIsWaitedForNotMuchLongerThanTheStoreTakes) {
-  Pace_.Patience_ = 10ms;
+  Pace_.WatchGrace_ = 10ms;
   play({"list", "watch"});
-  CHECK(Source_.Spans_.front().Patience_ >= 10ms);
-  CHECK(Source_.Spans_.front().Patience_ < 30ms);
+  CHECK(Source_.Spans_.front().Grace_ >= 10ms);
+  CHECK(Source_.Spans_.front().Grace_ < 30ms);
   Loop_.restart();
   Source_.ListTime_ = 30ms;
   play({"list", "watch"});
-  CHECK(Source_.Spans_.back().Patience_ >= 60ms);
+  CHECK(Source_.Spans_.back().Grace_ >= 60ms);
 }
 
 TEST(ObjectFollower, aChangeThatOthersLeaveOutIsListedOnce) {
--- a/tests/live/TargetBookTest.cpp
+++ b/tests/live/TargetBookTest.cpp
@@ -1,4 +1,4 @@
-#include "live/TargetBook.h"
+#include "live/TargetRegistry.h"
 
 #include "CppUTest/TestHarness.h"
 
--- a/tests/members/DemandTellerTest.cpp
+++ b/tests/members/DemandTellerTest.cpp
@@ -1,4 +1,4 @@
-#include "members/DemandTeller.h"
+#include "members/DemandDeltaEncoder.h"
 
 #include "CppUTest/TestHarness.h"
 
@@ -16,16 +16,16 @@
 
 TEST(DemandTeller, aWholeTellsAll) {
   const std::vector<CustomerDemand> All = {of("a", 1), of("b", 0.1)};
-  LONGS_EQUAL(2, Teller_.tell(All, true).Demands_.size());
+  LONGS_EQUAL(2, Teller_.encode(All, true).Demands_.size());
 }
 
 TEST(DemandTeller, betweenOnlyWhatChangedIsTold) {
   const std::vector<CustomerDemand> Before = {of("a", 10), of("b", 1)};
-  Teller_.tell(Before, true);
+  Teller_.encode(Before, true);
   const std::vector<CustomerDemand> Chance = {of("a", 10.9), of("b", 1.5)};
-  CHECK(Teller_.tell(Chance, false).Demands_.empty());
+  CHECK(Teller_.encode(Chance, false).Demands_.empty());
   const std::vector<CustomerDemand> Moved = {of("a", 4), of("b", 1)};
-  const auto Told = Teller_.tell(Moved, false).Demands_;
+  const auto Told = Teller_.encode(Moved, false).Demands_;
   LONGS_EQUAL(1, Told.size());
   DOUBLES_EQUAL(4, Told.front().RequestsPerSecond_, 0);
 }
@@ -34,16 +34,17 @@
 // changes count from the last whole and not from the last heartbeat.
 TEST(DemandTeller, aLostHeartbeatIsMadeUpForByTheNext) {
   const std::vector<CustomerDemand> Before = {of("a", 10)};
-  Teller_.tell(Before, true);
+  Teller_.encode(Before, true);
   const std::vector<CustomerDemand> Moved = {of("a", 4)};
-  LONGS_EQUAL(1, Teller_.tell(Moved, false).Demands_.size());
-  LONGS_EQUAL(1, Teller_.tell(Moved, false).Demands_.size());
+  LONGS_EQUAL(1, Teller_.encode(Moved, false).Demands_.size());
+  LONGS_EQUAL(1, Teller_.encode(Moved, false).Demands_.size());
 }
 
 TEST(DemandTeller, aCustomerThatStoppedIsToldAsNothing) {
   const std::vector<CustomerDemand> Before = {of("a", 10), of("b", 1)};
-  Teller_.tell(Before, true);
-  const auto Told = Teller_.tell(std::span(Before).subspan(1), false).Demands_;
+  Teller_.encode(Before, true);
+  const auto Told =
+      Teller_.encode(std::span(Before).subspan(1), false).Demands_;
   LONGS_EQUAL(1, Told.size());
   DOUBLES_EQUAL(0, Told.front().RequestsPerSecond_, 0);
 }
@@ -51,8 +52,8 @@
 TEST(DemandTeller, fewCustomersAreAlwaysToldWhole) {
   DemandTeller Teller;
   const std::vector<CustomerDemand> All = {of("a", 10), of("b", 1)};
-  Teller.tell(All, true);
-  const auto Told = Teller.tell(All, false);
-  CHECK(Told.IsWhole_);
+  Teller.encode(All, true);
+  const auto Told = Teller.encode(All, false);
+  CHECK(Told.IsFull_);
   LONGS_EQUAL(2, Told.Demands_.size());
 }
--- a/tests/members/EntryPolicyTest.cpp
+++ b/tests/members/EntryPolicyTest.cpp
@@ -19,11 +19,11 @@
   void makeRegion(std::size_t Count, const char *Region = "north") {
     for (std::size_t Number = 0; Number < Count; ++Number) {
       HostView View;
-      View.Card_.Host_ =
+      View.Descriptor_.Host_ =
           base::HostId(std::string(Region) + std::to_string(Number));
-      View.Card_.Region_ = base::RegionId(Region);
-      View.Card_.Zone_ = zone(Number % Zones);
-      View.Card_.Callers_ = View.Card_.Host_.name();
+      View.Descriptor_.Region_ = base::RegionId(Region);
+      View.Descriptor_.Zone_ = zone(Number % Zones);
+      View.Descriptor_.CallerAddress_ = View.Descriptor_.Host_.name();
       View.Alive_ = View.Ready_ = true;
       Hosts_.push_back(View);
     }
@@ -40,7 +40,7 @@
   }
   std::vector<std::string> told(const EntryQuery &Asked,
                                 const std::string &By = "by") const {
-    members::HostCard Self;
+    members::HostDescriptor Self;
     Self.Host_ = base::HostId(By);
     return members::chooseEntries(Asked, Self, {}, Hosts_);
   }
--- a/tests/members/HeartbeatTest.cpp
+++ b/tests/members/HeartbeatTest.cpp
@@ -1,6 +1,6 @@
 #include "members/Heartbeat.h"
 
-#include "members/HostBook.h"
+#include "members/HostTable.h"
 
 #include "CppUTest/TestHarness.h"
 
@@ -12,19 +12,19 @@
   base::Error Last_;
   static members::Heartbeat sample() {
     members::Heartbeat Said;
-    Said.From_.Host_ = base::HostId("h1");
-    Said.From_.Region_ = base::RegionId("north");
-    Said.From_.Zone_ = base::ZoneId("north-a");
-    Said.From_.Address_ = "127.0.0.2";
-    Said.From_.Callers_ = "127.0.0.2:80";
-    Said.From_.Start_ = 1700000000000;
+    Said.Sender_.Host_ = base::HostId("h1");
+    Said.Sender_.Region_ = base::RegionId("north");
+    Said.Sender_.Zone_ = base::ZoneId("north-a");
+    Said.Sender_.Address_ = "127.0.0.2";
+    Said.Sender_.CallerAddress_ = "127.0.0.2:80";
+    Said.Sender_.Incarnation_ = 1700000000000;
     Said.Sequence_ = 9;
     Said.Ready_ = true;
     Said.Demands_ = {{base::CustomerId("parish"), 2.5}};
     Said.Loads_ = {{base::ServiceId("portal"), 11.25, base::RegionId("north")}};
     Said.Evidence_ = {{0xffffffffffffffffULL, 7, 1500ms}};
     Said.Times_ = {{"rule", 0.25, 0.9, 0.4}};
-    Said.Hears_ = {"127.0.0.3"};
+    Said.LivePeers_ = {"127.0.0.3"};
     return Said;
   }
 };
@@ -35,7 +35,7 @@
       members::decodeHeartbeat(members::encodeHeartbeat(Said), Last_);
   CHECK(Decoded.has_value());
   const members::Heartbeat Read = Decoded.value_or(members::Heartbeat());
-  CHECK(Read.From_ == Said.From_);
+  CHECK(Read.Sender_ == Said.Sender_);
   LONGS_EQUAL(9, Read.Sequence_);
   CHECK(Read.Ready_);
   CHECK_FALSE(Read.Leaving_);
@@ -47,7 +47,7 @@
   DOUBLES_EQUAL(0.25, Read.Times_[0].WarmSeconds_, 0.001);
   DOUBLES_EQUAL(0.9, Read.Times_[0].ColdSeconds_, 0.001);
   DOUBLES_EQUAL(0.4, Read.Times_[0].UsualSeconds_, 0.001);
-  STRCMP_EQUAL("127.0.0.3", Read.Hears_[0].c_str());
+  STRCMP_EQUAL("127.0.0.3", Read.LivePeers_[0].c_str());
 }
 
 // Anyone can send a datagram to the port. What is no heartbeat changes nothing
@@ -92,21 +92,21 @@
   CHECK(Text.size() <= MostBytes);
   Read = members::decodeHeartbeat(Text, Last_);
   CHECK(Read && Read->Ready_ && Read->Loads_.size() == 1);
-  CHECK(Read && Read->Demands_.empty() && !Read->IsWhole_);
+  CHECK(Read && Read->Demands_.empty() && !Read->IsFull_);
 }
 
 // Most heartbeats leave out where the host is. A host that missed the one that
 // told it, or hears a new start, cannot place them and waits for the next.
 TEST(Heartbeat, withoutItsCardItIsPlacedByWhatWasToldBefore) {
-  members::HostBook Book({});
+  members::HostTable Book({});
   members::Heartbeat Said = sample();
   const base::TimePoint Now(100s);
   const auto Hear = [&](bool WithCard) {
-    Said.HasCard_ = WithCard;
+    Said.HasDescriptor_ = WithCard;
     ++Said.Sequence_;
     const auto Read =
         members::decodeHeartbeat(members::encodeHeartbeat(Said), Last_);
-    return Read && Book.heard(*Read, Now);
+    return Read && Book.receive(*Read, Now);
   };
   CHECK_FALSE(Hear(false));
   CHECK(Hear(true));
@@ -114,7 +114,7 @@
   CHECK(Hear(false));
   const auto Views = Book.recipients(Now);
   LONGS_EQUAL(2, Views.size());
-  Said.From_.Start_ += 1;
+  Said.Sender_.Incarnation_ += 1;
   Said.Ready_ = true;
   CHECK_FALSE(Hear(false));
   CHECK(Hear(true));
--- a/tests/members/HostBookTest.cpp
+++ b/tests/members/HostBookTest.cpp
@@ -1,4 +1,4 @@
-#include "members/HostBook.h"
+#include "members/HostTable.h"
 
 #include "members/EntryPolicy.h"
 
@@ -13,14 +13,15 @@
 
 namespace {
 
-members::HostCard cardOf(const std::string &Name, const std::string &Region) {
-  members::HostCard Card;
+members::HostDescriptor cardOf(const std::string &Name,
+                               const std::string &Region) {
+  members::HostDescriptor Card;
   Card.Host_ = base::HostId(Name);
   Card.Region_ = base::RegionId(Region);
   Card.Zone_ = base::ZoneId(Region + "-a");
   Card.Address_ = Name + "-ip";
-  Card.Callers_ = Name + ":80";
-  Card.Start_ = 1;
+  Card.CallerAddress_ = Name + ":80";
+  Card.Incarnation_ = 1;
   return Card;
 }
 
@@ -34,13 +35,13 @@
   bool hear(const std::string &Name, bool Ready = true, bool Leaving = false,
             const std::string &Region = "north") {
     members::Heartbeat Said;
-    Said.From_ = cardOf(Name, Region);
+    Said.Sender_ = cardOf(Name, Region);
     Said.Sequence_ = ++Sequence_;
     Said.Ready_ = Ready;
     Said.Leaving_ = Leaving;
-    return Book_.heard(Said, Now_);
+    return Book_.receive(Said, Now_);
   }
-  std::string entries(members::OwnState Own = {true, false, false}) {
+  std::string entries(members::LocalHostState Own = {true, false, false}) {
     std::string Text;
     members::EntryQuery Asked;
     Asked.Region_ = base::RegionId("north");
@@ -108,45 +109,45 @@
   HostBook Other(cardOf("h1", "north"));
   hear("h1");
   members::Heartbeat Said;
-  Said.From_ = Book_.self();
+  Said.Sender_ = Book_.self();
   Said.Sequence_ = 1;
   Said.Ready_ = true;
-  Other.heard(Said, Now_);
+  Other.receive(Said, Now_);
   for (std::uint64_t Matter = 0; Matter < 50; ++Matter)
-    CHECK(Book_.isPickedFor(Matter, Now_) != Other.isPickedFor(Matter, Now_));
+    CHECK(Book_.isElectedFor(Matter, Now_) != Other.isElectedFor(Matter, Now_));
 }
 
 // Between whole heartbeats only what changed is told. What was told before
 // stands, but for a host that started anew since.
 TEST(HostBook, aChangeIsTakenIntoWhatWasTold) {
   members::Heartbeat Said;
-  Said.From_ = cardOf("h1", "north");
+  Said.Sender_ = cardOf("h1", "north");
   Said.Sequence_ = 1;
   Said.Demands_ = {{base::CustomerId("a"), 3}, {base::CustomerId("b"), 1}};
-  Said.Hears_ = {"h2-ip"};
-  Book_.heard(Said, Now_);
+  Said.LivePeers_ = {"h2-ip"};
+  Book_.receive(Said, Now_);
   Said.Sequence_ = 2;
-  Said.IsWhole_ = false;
+  Said.IsFull_ = false;
   Said.Demands_ = {{base::CustomerId("a"), 7}};
-  Said.Hears_.clear();
-  Book_.heard(Said, Now_);
+  Said.LivePeers_.clear();
+  Book_.receive(Said, Now_);
   double Sum = 0;
   for (const auto &Each : Book_.others(Now_)[0].Demands_)
     Sum += Each.RequestsPerSecond_;
   DOUBLES_EQUAL(8, Sum, 0.01);
   LONGS_EQUAL(2, Book_.recipients(Now_).size());
-  Said.From_.Start_ = 2;
+  Said.Sender_.Incarnation_ = 2;
   Said.Sequence_ = 1;
-  Book_.heard(Said, Now_);
+  Book_.receive(Said, Now_);
   LONGS_EQUAL(1, Book_.others(Now_)[0].Demands_.size());
 }
 
 TEST(HostBook, hostsThatOthersHearGetHeartbeats) {
   members::Heartbeat Said;
-  Said.From_ = cardOf("h1", "north");
+  Said.Sender_ = cardOf("h1", "north");
   Said.Sequence_ = 1;
-  Said.Hears_ = {"h2-ip", "self-ip"};
-  Book_.heard(Said, Now_);
+  Said.LivePeers_ = {"h2-ip", "self-ip"};
+  Book_.receive(Said, Now_);
   const std::vector<std::string> To = Book_.recipients(Now_);
   LONGS_EQUAL(2, To.size());
   STRCMP_EQUAL("h1-ip", To[0].c_str());
@@ -154,9 +155,9 @@
 }
 
 TEST(HostBook, otherRegionsAreNamedWhereTheCallersOwnHasNone) {
-  members::RegionNews Said;
+  members::RegionUpdate Said;
   Said.Region_ = base::RegionId("south");
-  Said.Told_.Hosts_ = {{cardOf("far", "south"), true, false, false}};
+  Said.Summary_.Hosts_ = {{cardOf("far", "south"), true, false, false}};
   CHECK(Book_.heardNews(Said, Now_));
   STRCMP_EQUAL("self:80 ", entries().c_str());
   STRCMP_EQUAL("far:80 ", entries({false, false, false}).c_str());
--- a/tests/members/RegionNewsTest.cpp
+++ b/tests/members/RegionNewsTest.cpp
@@ -1,4 +1,4 @@
-#include "members/RegionNews.h"
+#include "members/RegionUpdate.h"
 
 #include "members/RegionBook.h"
 #include "members/RegionTeller.h"
@@ -24,8 +24,8 @@
   Made.Card_.Region_ = base::RegionId("north");
   Made.Card_.Zone_ = base::ZoneId("north-a");
   Made.Card_.Address_ = Name + "-ip";
-  Made.Card_.Callers_ = Name + ":80";
-  Made.Card_.Start_ = 7;
+  Made.Card_.CallerAddress_ = Name + ":80";
+  Made.Card_.Incarnation_ = 7;
   Made.Ready_ = true;
   return Made;
 }
@@ -56,12 +56,12 @@
 TEST(RegionNews, newsComeBackAsTheyWere) {
   RegionNews Said = newsOf("s1", 9);
   Said.Start_ = 4;
-  Said.Told_.Hosts_ = {lineOf("h1"), lineOf("h2")};
-  Said.Told_.Hosts_[1].Leaving_ = true;
-  Said.Told_.Hosts_[1].Gone_ = true;
-  Said.Told_.Demands_ = {{base::CustomerId("a"), 2.5}};
-  Said.Told_.Loads_ = {{base::ServiceId("s"), 3, base::RegionId("north")}};
-  Said.Told_.Evidence_ = {{1, 2, 3s}};
+  Said.Summary_.Hosts_ = {lineOf("h1"), lineOf("h2")};
+  Said.Summary_.Hosts_[1].Leaving_ = true;
+  Said.Summary_.Hosts_[1].Gone_ = true;
+  Said.Summary_.Demands_ = {{base::CustomerId("a"), 2.5}};
+  Said.Summary_.Loads_ = {{base::ServiceId("s"), 3, base::RegionId("north")}};
+  Said.Summary_.Evidence_ = {{1, 2, 3s}};
   base::Error Last;
   const auto Read =
       members::decodeRegionNews(members::encodeRegionNews(Said), Last);
@@ -71,10 +71,10 @@
   CHECK(Back.Speaker_ == Said.Speaker_);
   LONGS_EQUAL(4, Back.Start_);
   LONGS_EQUAL(9, Back.Sequence_);
-  CHECK(Back.Told_.Hosts_ == Said.Told_.Hosts_);
-  DOUBLES_EQUAL(2.5, Back.Told_.Demands_.at(0).RequestsPerSecond_, 0.01);
-  CHECK(Back.Told_.Loads_.at(0).BoundTo_ == base::RegionId("north"));
-  CHECK(Back.Told_.Evidence_ == Said.Told_.Evidence_);
+  CHECK(Back.Summary_.Hosts_ == Said.Summary_.Hosts_);
+  DOUBLES_EQUAL(2.5, Back.Summary_.Demands_.at(0).RequestsPerSecond_, 0.01);
+  CHECK(Back.Summary_.Loads_.at(0).BoundTo_ == base::RegionId("north"));
+  CHECK(Back.Summary_.Evidence_ == Said.Summary_.Evidence_);
 }
 
 TEST(RegionNews, whatIsNoNewsIsRefusedWithAReason) {
@@ -125,12 +125,12 @@
   members::RegionSummary Known;
   Known.Demands_ = {{base::CustomerId("a"), 20}};
   RegionNews Said = newsOf("s1", 1);
-  Said.Told_ = Teller.tell(Known);
+  Said.Summary_ = Teller.tell(Known);
   Book_.heard(Said, Now_);
   DOUBLES_EQUAL(20, told("a"), 0.01);
   Known.Demands_.clear();
   Said.Sequence_ = 2;
-  Said.Told_ = Teller.tell(Known);
+  Said.Summary_ = Teller.tell(Known);
   Book_.heard(Said, Now_);
   DOUBLES_EQUAL(0, told("a"), 0.01);
 }
@@ -142,9 +142,9 @@
   const bool Ordered = members::speakerRank(base::HostId("s1")) >
                        members::speakerRank(base::HostId("s2"));
   RegionNews First = newsOf(Ordered ? "s1" : "s2", 5);
-  First.Told_.Demands_ = {{base::CustomerId("a"), 1}};
+  First.Summary_.Demands_ = {{base::CustomerId("a"), 1}};
   RegionNews Other = newsOf(Ordered ? "s2" : "s1", 50);
-  Other.Told_.Demands_ = {{base::CustomerId("a"), 2}};
+  Other.Summary_.Demands_ = {{base::CustomerId("a"), 2}};
   CHECK(Book_.heard(Other, Now_));
   CHECK(Book_.heard(First, Now_));
   CHECK_FALSE(Book_.heard(First, Now_));
@@ -159,7 +159,7 @@
 // no more, and its part of the rates stays its own while it may spend it.
 TEST(RegionNews, aSilentRegionKeepsItsShareLonger) {
   RegionNews Said = newsOf("s1", 1);
-  Said.Told_.Hosts_ = {lineOf("h1")};
+  Said.Summary_.Hosts_ = {lineOf("h1")};
   Book_.heard(Said, Now_);
   Now_ += RegionBook::AliveFor;
   CHECK_FALSE(Book_.regions(7s, Now_).at(0).Alive_);
@@ -171,11 +171,11 @@
 
 TEST(RegionNews, aHostThatIsToldToBeGoneIsNotAlive) {
   RegionNews Said = newsOf("s1", 1);
-  Said.Told_.Hosts_ = {lineOf("h1")};
+  Said.Summary_.Hosts_ = {lineOf("h1")};
   Book_.heard(Said, Now_);
   CHECK(Book_.hosts(7s, Now_).at(0).Alive_);
   Said.Sequence_ = 2;
-  Said.Told_.Hosts_[0].Gone_ = true;
+  Said.Summary_.Hosts_[0].Gone_ = true;
   Book_.heard(Said, Now_);
   CHECK_FALSE(Book_.hosts(7s, Now_).at(0).Alive_);
 }
--- a/tests/members/RegionPlayTest.cpp
+++ b/tests/members/RegionPlayTest.cpp
@@ -1,4 +1,4 @@
-#include "members/HostBook.h"
+#include "members/HostTable.h"
 
 #include "base/Random.h"
 #include "members/RegionTeller.h"
@@ -58,8 +58,8 @@
   }
   /// The host starts anew, and remembers nothing.
   void restart(std::size_t Number) {
-    members::HostCard Card = cardOf(Number);
-    Card.Start_ = ++Starts_;
+    members::HostDescriptor Card = cardOf(Number);
+    Card.Incarnation_ = ++Starts_;
     Hosts_[Number] = {};
     Hosts_[Number].Book_ = std::make_unique<HostBook>(Card);
     Hosts_[Number].Begun_ = Now_;
@@ -108,7 +108,7 @@
   }
   bool takesForAlive(std::size_t Number, std::size_t Other) const {
     for (const members::HostView &Each : Hosts_[Number].Book_->others(Now_))
-      if (Each.Card_.Address_ == std::to_string(Other))
+      if (Each.Descriptor_.Address_ == std::to_string(Other))
         return Each.Alive_;
     return false;
   }
@@ -138,20 +138,20 @@
     std::size_t From_ = 0;
     std::size_t To_ = 0;
     std::shared_ptr<const members::Heartbeat> Heartbeat_;
-    std::shared_ptr<const members::RegionNews> News_;
+    std::shared_ptr<const members::RegionUpdate> News_;
     std::size_t Bytes_ = 0;
   };
 
   base::RegionId regionOf(std::size_t Number) const {
     return base::RegionId("region-" + std::to_string(Number % Regions_));
   }
-  members::HostCard cardOf(std::size_t Number) const {
-    members::HostCard Made;
+  members::HostDescriptor cardOf(std::size_t Number) const {
+    members::HostDescriptor Made;
     Made.Host_ = base::HostId("host-" + std::to_string(Number));
     Made.Region_ = regionOf(Number);
     Made.Zone_ = base::ZoneId("zone");
     Made.Address_ = std::to_string(Number);
-    Made.Callers_ = Made.Address_ + ":80";
+    Made.CallerAddress_ = Made.Address_ + ":80";
     return Made;
   }
 
@@ -174,7 +174,7 @@
   void beat(std::size_t Number) {
     Host &Self = Hosts_[Number];
     members::Heartbeat Said;
-    Said.From_ = Self.Book_->self();
+    Said.Sender_ = Self.Book_->self();
     Said.Sequence_ = ++Self.Sequence_;
     Said.Ready_ = true;
     Said.Demands_ = {{base::CustomerId("c"), Self.Demand_}};
@@ -184,15 +184,15 @@
       send({Number, std::stoul(Each), Sent, nullptr, Bytes});
     if (!Self.Book_->isSpeaker(false, Now_ - Self.Begun_, Now_))
       return;
-    members::RegionNews News;
-    News.Region_ = Said.From_.Region_;
-    News.Speaker_ = Said.From_.Host_;
-    News.Start_ = Said.From_.Start_;
+    members::RegionUpdate News;
+    News.Region_ = Said.Sender_.Region_;
+    News.Speaker_ = Said.Sender_.Host_;
+    News.Start_ = Said.Sender_.Incarnation_;
     News.Sequence_ = Self.Sequence_;
-    News.Told_ = Self.Teller_.tell(
+    News.Summary_ = Self.Teller_.tell(
         Self.Book_->summary({true, false, Said.Demands_, {}, {}}, Now_));
     const std::size_t NewsBytes = members::encodeRegionNews(News).size();
-    const auto SentNews = std::make_shared<const members::RegionNews>(News);
+    const auto SentNews = std::make_shared<const members::RegionUpdate>(News);
     for (const std::string &Each : Self.Book_->farSpeakers(Now_))
       send({Number, std::stoul(Each), nullptr, SentNews, NewsBytes});
   }
@@ -202,7 +202,7 @@
       return;
     HostBook &Book = *Hosts_[Each.To_].Book_;
     if (Each.Heartbeat_) {
-      Book.heard(*Each.Heartbeat_, Now_);
+      Book.receive(*Each.Heartbeat_, Now_);
       return;
     }
     if (!Book.heardNews(*Each.News_, Now_))
--- a/tests/relaying/CopyAllowanceTest.cpp
+++ b/tests/relaying/CopyAllowanceTest.cpp
@@ -1,4 +1,4 @@
-#include "relaying/CopyAllowance.h"
+#include "relaying/RelayCopyLimiter.h"
 #include "relaying/RelayRole.h"
 
 #include "CppUTest/TestHarness.h"
@@ -23,12 +23,12 @@
 
 TEST(CopyAllowance, smallChangesGoToEverybody) {
   for (std::size_t Host = 0; Host < MostWhoAsk; ++Host)
-    CHECK(Allowance_.take(CopyAllowance::SmallBytes, false, Now_));
+    CHECK(Allowance_.tryAcquire(CopyAllowance::SmallBytes, false, Now_));
 }
 
 TEST(CopyAllowance, aLargeChangeIsLeftToTheStore) {
   for (std::size_t Host = 0; Host < MostWhoAsk; ++Host)
-    CHECK_FALSE(Allowance_.take(LargeBytes, false, Now_));
+    CHECK_FALSE(Allowance_.tryAcquire(LargeBytes, false, Now_));
 }
 
 TEST(CopyAllowance, hostsThatTheStoreRefusesDoNotTakeAllOfASmallLink) {
@@ -37,7 +37,7 @@
   const base::TimePoint End = Now_ + 10s;
   while (Now_ < End) {
     for (std::size_t Host = 0; Host < MostWhoAsk; ++Host)
-      Told += Allowance_.take(LargeBytes, true, Now_) ? LargeBytes : 0;
+      Told += Allowance_.tryAcquire(LargeBytes, true, Now_) ? LargeBytes : 0;
     Now_ += RelayRole::AskEvery;
   }
   CHECK(Told > 0);
@@ -45,7 +45,7 @@
 }
 
 TEST(CopyAllowance, aHostThatTheStoreRefusesIsToldHoweverLargeTheChange) {
-  CHECK(Allowance_.take(std::size_t{4} << 20, true, Now_));
-  CHECK_FALSE(Allowance_.take(LargeBytes, true, Now_ + 1s));
-  CHECK(Allowance_.take(LargeBytes, true, Now_ + 20s));
+  CHECK(Allowance_.tryAcquire(std::size_t{4} << 20, true, Now_));
+  CHECK_FALSE(Allowance_.tryAcquire(LargeBytes, true, Now_ + 1s));
+  CHECK(Allowance_.tryAcquire(LargeBytes, true, Now_ + 20s));
 }
--- a/tests/relaying/RelayRegionTest.cpp
+++ b/tests/relaying/RelayRegionTest.cpp
@@ -43,16 +43,16 @@
   static constexpr base::Duration CallTimeout = 1s;
 
   Region(std::size_t Count, base::Duration Bound)
-      : Pace_(lychee::relaying::freshnessPaceFor(Bound)) {
+      : Pace_(lychee::relaying::freshnessTimeoutsFor(Bound)) {
     for (std::size_t Number = 0; Number < Count; ++Number) {
       members::HostView View;
-      View.Card_.Host_ = base::HostId("host-" + std::to_string(Number));
-      View.Card_.Region_ = base::RegionId("near");
-      View.Card_.Address_ = std::to_string(Number);
+      View.Descriptor_.Host_ = base::HostId("host-" + std::to_string(Number));
+      View.Descriptor_.Region_ = base::RegionId("near");
+      View.Descriptor_.Address_ = std::to_string(Number);
       View.Alive_ = true;
       View.Ready_ = true;
       Views_.push_back(View);
-      Hosts_.emplace_back(RelayRole(View.Card_, Pace_), Now_);
+      Hosts_.emplace_back(RelayRole(View.Descriptor_, Pace_), Now_);
     }
   }
 
@@ -65,7 +65,7 @@
   /// Breaks so many of the hosts that ask.
   void breakAskers(Fault What, std::size_t Count) {
     for (Host &Each : Hosts_)
-      if (Count > 0 && Each.Role_.isChosen()) {
+      if (Count > 0 && Each.Role_.isReader()) {
         Each.Fault_ = What;
         --Count;
       }
@@ -122,7 +122,7 @@
     call(Self);
     // Trouble of a host that others rely on is told at once.
     const bool IsTold = isDue(Number, HeartbeatPace) ||
-                        (isDue(Number, RolePace) && Self.Role_.isChosen() &&
+                        (isDue(Number, RolePace) && Self.Role_.isReader() &&
                          Self.Role_.isInTrouble(Now_));
     if (IsTold && Self.Fault_ != Fault::CutOffUnnoticed)
       Views_[Number].StoreTrouble_ = Self.Role_.isInTrouble(Now_);
@@ -137,7 +137,7 @@
     std::swap(Views_[Number], Views_.back());
     const auto Asking =
         std::count_if(Hosts_.begin(), Hosts_.end(), [this](const Host &Each) {
-          return !Each.Fault_ && Each.Role_.mustAsk(Now_);
+          return !Each.Fault_ && Each.Role_.mustReadStore(Now_);
         });
     if (Now_ > Start_ + Settling)
       MostAsking_ = std::max(MostAsking_, static_cast<std::size_t>(Asking));
@@ -150,7 +150,7 @@
       const Host &Asked = Hosts_[std::stoul(Address)];
       if (Asked.Fault_ == Fault::Frozen)
         continue;
-      const bool Sound = Asked.Role_.mustAsk(Now_);
+      const bool Sound = Asked.Role_.mustReadStore(Now_);
       Self.Role_.noteAnswer(
           Address, Sound ? std::optional(Asked.OwnContact_) : std::nullopt,
           Now_);
@@ -165,25 +165,25 @@
 
   void call(Host &Self) {
     if (!Self.CallEnds_) {
-      Self.Watches_ = Self.Watches_ && Self.Role_.mustAsk(Now_);
-      if (Self.Role_.mustAsk(Now_))
+      Self.Watches_ = Self.Watches_ && Self.Role_.mustReadStore(Now_);
+      if (Self.Role_.mustReadStore(Now_))
         begin(Self);
       return;
     }
     // The connection that is open when the fault begins hears nothing more.
     if (Self.Fault_ && Self.CallComes_ && Self.Watches_) {
       Self.CallComes_ = false;
-      *Self.CallEnds_ += Pace_.Patience_;
+      *Self.CallEnds_ += Pace_.WatchGrace_;
     }
     if (Now_ < *Self.CallEnds_)
       return;
     Self.CallEnds_.reset();
-    Self.Watches_ = Self.CallComes_ && Self.Role_.mustAsk(Now_);
+    Self.Watches_ = Self.CallComes_ && Self.Role_.mustReadStore(Now_);
     if (!Self.CallComes_) {
       Self.Role_.noteTrouble(Now_);
       return;
     }
-    Self.Role_.noteCall();
+    Self.Role_.noteSuccess();
     Self.OwnContact_ = Self.Contact_ = Now_;
   }
 
@@ -198,7 +198,7 @@
 
   static constexpr base::Duration Settling = 3s;
 
-  const lychee::relaying::FreshnessPace Pace_;
+  const lychee::relaying::FreshnessTimeouts Pace_;
   const base::TimePoint Start_ = base::TimePoint(100s);
   base::TimePoint Now_ = Start_;
   std::vector<members::HostView> Views_;
--- a/tests/relaying/RelayRoleTest.cpp
+++ b/tests/relaying/RelayRoleTest.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-members::HostCard cardOf(int Number, const char *Region = "near") {
-  members::HostCard Made;
+members::HostDescriptor cardOf(int Number, const char *Region = "near") {
+  members::HostDescriptor Made;
   Made.Host_ = base::HostId("host-" + std::to_string(Number));
   Made.Region_ = base::RegionId(Region);
   Made.Address_ = "127.0.0." + std::to_string(Number);
@@ -19,14 +19,14 @@
 
 members::HostView viewOf(int Number, const char *Region = "near") {
   members::HostView Made;
-  Made.Card_ = cardOf(Number, Region);
+  Made.Descriptor_ = cardOf(Number, Region);
   Made.Alive_ = true;
   Made.Ready_ = true;
   return Made;
 }
 
 constexpr int HostCount = 10;
-const auto Pace = lychee::relaying::freshnessPaceFor(4s);
+const auto Pace = lychee::relaying::freshnessTimeoutsFor(4s);
 
 } // namespace
 
@@ -61,7 +61,7 @@
   std::vector<std::size_t> asking() const {
     std::vector<std::size_t> Found;
     for (std::size_t Each = 0; Each < Roles_.size(); ++Each)
-      if (Roles_[Each].mustAsk(Now_))
+      if (Roles_[Each].mustReadStore(Now_))
         Found.push_back(Each);
     return Found;
   }
@@ -73,15 +73,15 @@
   LONGS_EQUAL(RelayRole::AskersPerRegion, Asking.size());
   for (std::size_t Each = 0; Each < Roles_.size(); ++Each)
     for (const std::string &Address : Roles_[Each].askers())
-      CHECK(Address == Views_[Asking[0]].Card_.Address_ ||
-            Address == Views_[Asking[1]].Card_.Address_);
+      CHECK(Address == Views_[Asking[0]].Descriptor_.Address_ ||
+            Address == Views_[Asking[1]].Descriptor_.Address_);
 }
 
 TEST(RelayRole, aHostThatHeardNobodyAsks) {
   RelayRole Alone(cardOf(1), Pace);
-  CHECK(Alone.mustAsk(Now_));
+  CHECK(Alone.mustReadStore(Now_));
   Alone.update({}, false, Now_);
-  CHECK(Alone.mustAsk(Now_));
+  CHECK(Alone.mustReadStore(Now_));
 }
 
 TEST(RelayRole, hostsOfOtherRegionsAreNotAsked) {
@@ -90,7 +90,7 @@
                                                  viewOf(3, "far")};
   Role.update(Others, false, Now_);
   CHECK(Role.askers().empty());
-  CHECK(Role.mustAsk(Now_ + 1h));
+  CHECK(Role.mustReadStore(Now_ + 1h));
 }
 
 // The hosts that ask die. Nothing is told any more, and a target that leaves
@@ -133,12 +133,12 @@
   answerAll(false);
   double Together = 0;
   for (const RelayRole &Each : Roles_)
-    Together += 1 / Each.spread(Now_);
+    Together += 1 / Each.backoffFactor(Now_);
   CHECK(Together <= 2.0 * RelayRole::AskersPerRegion);
   // Where nobody answers nobody asks in its place, either.
   Now_ += RelayRole::Silence;
   for (const RelayRole &Each : Roles_)
-    DOUBLES_EQUAL(1, Each.spread(Now_), 0);
+    DOUBLES_EQUAL(1, Each.backoffFactor(Now_), 0);
 }
 
 // Two of three hosts are cut off from the store, and a single call of the third
@@ -157,7 +157,7 @@
   LONGS_EQUAL(HostCount, asking().size());
   for (std::size_t Each = 0; Each < Roles_.size(); ++Each)
     if (Each != CutOff[0] && Each != CutOff[1]) {
-      Roles_[Each].noteCall();
+      Roles_[Each].noteSuccess();
       Views_[Each].StoreTrouble_ = Roles_[Each].isInTrouble(Now_);
     }
   updateAll();
@@ -183,5 +183,5 @@
   const std::vector<members::HostView> Others = {viewOf(2)};
   Role.update(Others, true, Now_);
   Role.noteAnswer("127.0.0.2", Now_, Now_);
-  CHECK_FALSE(Role.mustAsk(Now_));
+  CHECK_FALSE(Role.mustReadStore(Now_));
 }
