--- a/apps/lycheed/LiveDaemon.cpp
+++ b/apps/lycheed/LiveDaemon.cpp
@@ -178,7 +178,7 @@
       Reports_({Entry_, Hosts_, Role_, Steering_}),
       Tokens_(Control_.get_executor(), Live.Relays_, Hosts_.self().Incarnation_,
               {[this](const base::CustomerId &Customer, base::TimePoint Now) {
-                 const auto Wait = Steering_.giveToken(Customer, Now);
+                 const auto Wait = Steering_.grantToken(Customer, Now);
                  Gauges_.countTokenGiven(!Wait);
                  return Wait;
                },
@@ -186,7 +186,7 @@
                       base::TimePoint Now) {
                  Gauges_.countTokenHeard(!Wait);
                  std::vector<steering::Wakeup> Woken;
-                 Steering_.heardToken(Ticket, Wait, Now, Woken);
+                 Steering_.handleTokenResponse(Ticket, Wait, Now, Woken);
                  Gateway_.deliver(Woken, Now);
                }}),
       Heartbeats_(
@@ -201,7 +201,7 @@
             {[this](base::TimePoint Now) { return Reports_.summary(Now); },
              [this] { return Entry_.leaving(); },
              [this](const members::RegionUpdate &Said, base::TimePoint Now) {
-               Steering_.mergeEvidence(Said.Summary_.Evidence_, Now);
+               Steering_.mergeCrashEvidence(Said.Summary_.Evidence_, Now);
              }}) {
   Hosts_.addSeeds(Live_.SeedAddresses_);
 }
@@ -213,9 +213,9 @@
 void LiveDaemon::hearHeartbeat(const members::Heartbeat &Said, bool News,
                                base::TimePoint Now) {
   if (!Said.Evidence_.empty())
-    Steering_.mergeEvidence(Said.Evidence_, Now);
+    Steering_.mergeCrashEvidence(Said.Evidence_, Now);
   if (!Said.Times_.empty())
-    Steering_.mergeWorkTimes(Said.Times_);
+    Steering_.mergeExecutionTimes(Said.Times_);
   if (!News)
     return;
   // Callers of other regions may be sent there, too.
@@ -319,10 +319,11 @@
     noteLosses(Others, Now);
     setGauges(Now);
     const members::LocalHostState Own = Entry_.ownState(Now);
-    Steering_.setFleet({Others, Hosts_.regions(Now), Hosts_.self(),
-                        Own.Ready_ && !Own.Leaving_, Hosts_.shareHolders(Now),
-                        regionCount(Live_), Hosts_.isCutOff(Now)},
-                       Now);
+    Steering_.updateFleetDemand({Others, Hosts_.regions(Now), Hosts_.self(),
+                                 Own.Ready_ && !Own.Leaving_,
+                                 Hosts_.shareHolders(Now), regionCount(Live_),
+                                 Hosts_.isCutOff(Now)},
+                                Now);
     reporting::flushLog();
     if (++Paces % FileCheckPaces == 0 && settingsFileChanged())
       reloadSettings();
--- a/apps/lycheed/LiveReports.cpp
+++ b/apps/lycheed/LiveReports.cpp
@@ -8,8 +8,8 @@
   Said.Ready_ = Own.Ready_;
   Said.Leaving_ = Own.Leaving_;
   Said.StoreTrouble_ = Others_.Role_.isInTrouble(Now);
-  Said.Loads_ = Others_.Steering_.loads(Now);
-  Said.Evidence_ = Others_.Steering_.evidence(Now);
+  Said.Loads_ = Others_.Steering_.serviceDemands(Now);
+  Said.Evidence_ = Others_.Steering_.crashEvidence(Now);
   return Said;
 }
 
@@ -26,7 +26,7 @@
                                           base::TimePoint Now) {
   members::Heartbeat Said = ownState(Now);
   members::DemandUpdate Told =
-      Demands_.encode(Others_.Steering_.demands(Now), Whole);
+      Demands_.encode(Others_.Steering_.customerDemands(Now), Whole);
   Said.IsFull_ = Told.IsFull_;
   Said.Demands_ = std::move(Told.Demands_);
   if (WithCard)
@@ -37,16 +37,17 @@
 members::Heartbeat LiveReports::answer(base::TimePoint Now) const {
   members::Heartbeat Said = ownState(Now);
   Said.IsFull_ = true;
-  Said.Demands_ = Others_.Steering_.demands(Now);
-  Said.Times_ = Others_.Steering_.workTimes();
+  Said.Demands_ = Others_.Steering_.customerDemands(Now);
+  Said.Times_ = Others_.Steering_.executionTimes();
   Said.LivePeers_ = hostsHeard(Now);
   return Said;
 }
 
 members::LocalHostSummary LiveReports::summary(base::TimePoint Now) const {
   const members::LocalHostState Own = Others_.Entry_.ownState(Now);
-  return {Own.Ready_, Own.Leaving_, Others_.Steering_.demands(Now),
-          Others_.Steering_.loads(Now), Others_.Steering_.evidence(Now)};
+  return {Own.Ready_, Own.Leaving_, Others_.Steering_.customerDemands(Now),
+          Others_.Steering_.serviceDemands(Now),
+          Others_.Steering_.crashEvidence(Now)};
 }
 
 } // namespace lychee::daemon
--- a/libs/dispatch/ColdAllowance.cpp
+++ b/libs/dispatch/ColdTargetRateLimiter.cpp
@@ -1,8 +1,9 @@
-#include "dispatch/ColdAllowance.h"
+#include "dispatch/ColdTargetRateLimiter.h"
 
 namespace lychee::dispatch {
 
-bool ColdAllowance::take(double RatePerSecond, base::TimePoint Now) noexcept {
+bool ColdTargetRateLimiter::take(double RatePerSecond,
+                                 base::TimePoint Now) noexcept {
   if (Now < Next_)
     return false;
   const double Rate = RatePerSecond > 0 ? RatePerSecond : UnstatedRate;
--- a/libs/dispatch/ColdAllowance.h
+++ b/libs/dispatch/ColdTargetRateLimiter.h
@@ -1,5 +1,5 @@
-#ifndef LYCHEE_DISPATCH_COLDALLOWANCE_H
-#define LYCHEE_DISPATCH_COLDALLOWANCE_H
+#ifndef LYCHEE_DISPATCH_COLDTARGETRATELIMITER_H
+#define LYCHEE_DISPATCH_COLDTARGETRATELIMITER_H
 
 #include "base/Time.h"
 
@@ -12,7 +12,7 @@
 /// together, so one host alone, picked by hash, sends to it. Two hosts that
 /// disagree on who is picked, for the second or so that a host's end takes to
 /// be noticed, stay together below the bound, since each takes HostPart of it.
-class ColdAllowance {
+class ColdTargetRateLimiter {
 public:
   /// Two hosts at once then make 1.5 times the rate, which is the bound that
   /// deployments promise.
--- a/libs/dispatch/RateDivision.cpp
+++ b/libs/dispatch/CustomerRateLimiter.cpp
@@ -1,4 +1,4 @@
-#include "dispatch/RateDivision.h"
+#include "dispatch/CustomerRateLimiter.h"
 
 #include "base/Hash.h"
 
@@ -30,15 +30,15 @@
 
 } // namespace
 
-void RateDivision::Bucket::fill(double PerSecond, double Most,
-                                base::TimePoint Now) noexcept {
+void CustomerRateLimiter::Bucket::fill(double PerSecond, double Most,
+                                       base::TimePoint Now) noexcept {
   Tokens_ =
       std::min(Tokens_ + base::toSeconds(Now - Filled_) * PerSecond, Most);
   Filled_ = Now;
 }
 
 std::optional<base::Duration>
-RateDivision::Bucket::take(double PerSecond) noexcept {
+CustomerRateLimiter::Bucket::take(double PerSecond) noexcept {
   if (Tokens_ >= 1) {
     Tokens_ -= 1;
     return std::nullopt;
@@ -46,8 +46,8 @@
   return base::fromSeconds((1 - Tokens_) / std::max(LeastRate, PerSecond));
 }
 
-void RateDivision::setCustomers(std::span<const live::CustomerRule> Customers,
-                                base::TimePoint Now) {
+void CustomerRateLimiter::setCustomers(
+    std::span<const live::CustomerRule> Customers, base::TimePoint Now) {
   std::map<base::CustomerId, Share> Next;
   for (const live::CustomerRule &Each : Customers) {
     Share Made;
@@ -65,15 +65,15 @@
   Shares_ = std::move(Next);
 }
 
-double RateDivision::allTokens(const Share &Of) const noexcept {
+double CustomerRateLimiter::allTokens(const Share &Of) const noexcept {
   const double InWindow =
       Of.Rate_ * base::toSeconds(Bounds_.RateWindow_) + Of.Burst_;
   return Of.Burst_ * UsedPart +
          UsedSlack * (InWindow * Bounds_.RateOverage_ + Bounds_.RateSlack_);
 }
 
-std::map<base::CustomerId, RateDivision::Told>
-RateDivision::sumOf(const FleetDemand &Fleet) {
+std::map<base::CustomerId, CustomerRateLimiter::Told>
+CustomerRateLimiter::sumOf(const FleetDemand &Fleet) {
   std::map<base::CustomerId, Told> Sums;
   for (const members::HostView &Other : Fleet.Others_) {
     if (!Other.HoldsShare_)
@@ -93,7 +93,7 @@
   return Sums;
 }
 
-void RateDivision::pickHolder(
+void CustomerRateLimiter::pickHolder(
     Share &Of, std::uint64_t Matter,
     std::span<const members::HostDescriptor *const> Keepers,
     const std::string &Self) {
@@ -119,9 +119,9 @@
   Of.Second_ = AddressOf(Second);
 }
 
-void RateDivision::divideOne(Share &Of, const Told &Others,
-                             const FleetDemand &Fleet,
-                             base::TimePoint Now) const {
+void CustomerRateLimiter::divideOne(Share &Of, const Told &Others,
+                                    const FleetDemand &Fleet,
+                                    base::TimePoint Now) const {
   const double Even =
       1.0 / static_cast<double>(std::max<std::size_t>(1, Fleet.Regions_));
   const double Least = std::min(Floor, Of.Rate_ * FloorPart);
@@ -141,7 +141,7 @@
                (Of.Part_ + std::min(Even, Of.Part_ * MostBurstPart)) / 2);
 }
 
-void RateDivision::keepOwnPart(Share &Of, base::TimePoint Now) noexcept {
+void CustomerRateLimiter::keepOwnPart(Share &Of, base::TimePoint Now) noexcept {
   if (!Of.Holder_.empty() || Of.Part_ <= Of.OwnPart_)
     return;
   Of.Region_.fill(Of.regionRate(), Of.Most_, Now);
@@ -149,7 +149,8 @@
   Of.Part_ = Of.OwnPart_;
 }
 
-void RateDivision::divide(const FleetDemand &Fleet, base::TimePoint Now) {
+void CustomerRateLimiter::divide(const FleetDemand &Fleet,
+                                 base::TimePoint Now) {
   if (Fleet.CutOff_) {
     for (auto &[Customer, Each] : Shares_)
       keepOwnPart(Each, Now);
@@ -170,8 +171,8 @@
   }
 }
 
-RateVerdict RateDivision::take(const base::CustomerId &Customer,
-                               base::TimePoint Now) {
+RateVerdict CustomerRateLimiter::take(const base::CustomerId &Customer,
+                                      base::TimePoint Now) {
   const auto Found = Shares_.find(Customer);
   if (Found == Shares_.end())
     return {};
@@ -187,7 +188,8 @@
 }
 
 std::optional<base::Duration>
-RateDivision::takeFor(const base::CustomerId &Customer, base::TimePoint Now) {
+CustomerRateLimiter::takeFor(const base::CustomerId &Customer,
+                             base::TimePoint Now) {
   const auto Found = Shares_.find(Customer);
   if (Found == Shares_.end() || Found->second.Rate_ <= 0)
     return std::nullopt;
@@ -200,7 +202,8 @@
 }
 
 std::optional<base::Duration>
-RateDivision::takeAlone(const base::CustomerId &Customer, base::TimePoint Now) {
+CustomerRateLimiter::takeAlone(const base::CustomerId &Customer,
+                               base::TimePoint Now) {
   const auto Found = Shares_.find(Customer);
   if (Found == Shares_.end())
     return std::nullopt;
@@ -213,7 +216,7 @@
 }
 
 std::vector<members::CustomerDemand>
-RateDivision::demands(base::TimePoint Now) {
+CustomerRateLimiter::demands(base::TimePoint Now) {
   std::vector<members::CustomerDemand> All;
   for (auto &[Customer, Each] : Shares_) {
     const double PerSecond = Each.Demand_.perSecond(Now);
--- a/libs/dispatch/RateDivision.h
+++ b/libs/dispatch/CustomerRateLimiter.h
@@ -1,5 +1,5 @@
-#ifndef LYCHEE_DISPATCH_RATEDIVISION_H
-#define LYCHEE_DISPATCH_RATEDIVISION_H
+#ifndef LYCHEE_DISPATCH_CUSTOMERRATELIMITER_H
+#define LYCHEE_DISPATCH_CUSTOMERRATELIMITER_H
 
 #include "base/Id.h"
 #include "base/Time.h"
@@ -71,7 +71,7 @@
 /// s later. Symptom: a customer that sends five times its rate got 464 requests
 /// in 5 s where 449 are allowed. So a host that is cut off keeps only its own
 /// part, which the others leave it.
-class RateDivision {
+class CustomerRateLimiter {
 public:
   /// Part of the rate that is used: what regions tell each other is up to a
   /// second old, and two may each count a moving caller as theirs; standbys and
@@ -117,7 +117,8 @@
   static constexpr double MostAlone = 2;
   static constexpr base::Duration AloneFor = std::chrono::seconds(5);
 
-  RateDivision(const live::DeploymentBounds &Bounds, base::TimePoint Start)
+  CustomerRateLimiter(const live::DeploymentBounds &Bounds,
+                      base::TimePoint Start)
       : Bounds_(Bounds), Start_(Start) {}
 
   void setCustomers(std::span<const live::CustomerRule> Customers,
--- a/libs/dispatch/DispatchSteering.cpp
+++ b/libs/dispatch/DispatchSteering.cpp
@@ -38,7 +38,7 @@
 } // namespace
 
 DispatchSteering::DispatchSteering(const DispatchSettings &Settings,
-                                   DispatchParts Parts, base::TimePoint Now)
+                                   DispatchCallbacks Parts, base::TimePoint Now)
     : Settings_(Settings), Parts_(std::move(Parts)),
       Chooser_(Settings.Region_, Settings.Zone_), Random_(Settings.Seed_),
       Rates_(Settings.Bounds_, Now) {}
--- a/libs/dispatch/DispatchSteering.h
+++ b/libs/dispatch/DispatchSteering.h
@@ -2,8 +2,8 @@
 #define LYCHEE_DISPATCH_DISPATCHSTEERING_H
 
 #include "base/Random.h"
+#include "dispatch/CustomerRateLimiter.h"
 #include "dispatch/DemandMeter.h"
-#include "dispatch/RateDivision.h"
 #include "dispatch/RegionSplit.h"
 #include "dispatch/SendBudget.h"
 #include "dispatch/TargetChooser.h"
@@ -29,12 +29,12 @@
 };
 
 /// What a dispatch asks of the rest of the host. Called under its lock.
-struct DispatchParts {
+struct DispatchCallbacks {
   /// \returns whether this host is the one for a matter, of all that are
   /// alive. \see members::HostTable::isElectedFor
   std::function<bool(std::uint64_t Matter)> PickedFor_;
-  /// Asks the host at \p Holder for a token; heardToken() is called with its
-  /// answer. \see RateDivision
+  /// Asks the host at \p Holder for a token; handleTokenResponse() is called
+  /// with its answer. \see CustomerRateLimiter
   std::function<void(const std::string &Holder, std::uint64_t Ticket,
                      const base::CustomerId &Customer)>
       AskToken_ = [](const auto &, auto, const auto &) {};
@@ -56,7 +56,7 @@
   /// host waits for its processor; then the next host in line is asked.
   static constexpr base::Duration TokenPatience = std::chrono::milliseconds(60);
 
-  DispatchSteering(const DispatchSettings &Settings, DispatchParts Parts,
+  DispatchSteering(const DispatchSettings &Settings, DispatchCallbacks Parts,
                    base::TimePoint Now);
 
   // What is in force.
@@ -69,29 +69,32 @@
   /// Zones whose targets get nothing.
   void setEvacuated(const std::set<base::ZoneId> &Zones, base::TimePoint Now);
   /// Divides what all hosts share anew. To be called every 250 ms.
-  void setFleet(const FleetDemand &Fleet, base::TimePoint Now);
+  void updateFleetDemand(const FleetDemand &Fleet, base::TimePoint Now);
 
   // What is told to other hosts.
-  std::vector<members::CustomerDemand> demands(base::TimePoint Now);
-  std::vector<members::ServiceDemand> loads(base::TimePoint Now);
+  std::vector<members::CustomerDemand> customerDemands(base::TimePoint Now);
+  std::vector<members::ServiceDemand> serviceDemands(base::TimePoint Now);
   /// What was learned of how long rules' requests run.
-  std::vector<members::RuleExecutionTimes> workTimes() const;
-  void mergeWorkTimes(std::span<const members::RuleExecutionTimes> Told);
-  std::vector<retrying::CrashEvidence> evidence(base::TimePoint Now) const {
+  std::vector<members::RuleExecutionTimes> executionTimes() const;
+  void mergeExecutionTimes(std::span<const members::RuleExecutionTimes> Told);
+  std::vector<retrying::CrashEvidence>
+  crashEvidence(base::TimePoint Now) const {
     return Suspects_.evidence(Now);
   }
-  void mergeEvidence(std::span<const retrying::CrashEvidence> Told,
-                     base::TimePoint Now) {
+  void mergeCrashEvidence(std::span<const retrying::CrashEvidence> Told,
+                          base::TimePoint Now) {
     Suspects_.merge(Told, Now);
   }
 
   // Tokens of customers' rates.
   /// \returns when a token is there for another host; nothing: it took one.
-  std::optional<base::Duration> giveToken(const base::CustomerId &Customer,
-                                          base::TimePoint Now);
+  std::optional<base::Duration> grantToken(const base::CustomerId &Customer,
+                                           base::TimePoint Now);
   /// The answer on a request that waits. \p Woken gains its decision.
-  void heardToken(std::uint64_t Ticket, std::optional<base::Duration> Wait,
-                  base::TimePoint Now, std::vector<steering::Wakeup> &Woken);
+  void handleTokenResponse(std::uint64_t Ticket,
+                           std::optional<base::Duration> Wait,
+                           base::TimePoint Now,
+                           std::vector<steering::Wakeup> &Woken);
 
   // steering::Steering
   steering::Decision arrive(const steering::Request &Arrived,
@@ -182,7 +185,7 @@
                            base::TimePoint Now);
   steering::Decision awaitToken(std::uint64_t Ticket, TokenWait Wanted,
                                 const std::string &Holder, base::TimePoint Now);
-  /// \param Wait  as RateDivision said; nothing: there is a token.
+  /// \param Wait  as CustomerRateLimiter said; nothing: there is a token.
   steering::Decision endTokenWait(std::uint64_t Ticket,
                                   std::optional<base::Duration> Wait,
                                   base::TimePoint Now);
@@ -215,7 +218,7 @@
   void noteDown(const base::TargetId &Target, base::TimePoint Now);
 
   const DispatchSettings Settings_;
-  const DispatchParts Parts_;
+  const DispatchCallbacks Parts_;
   const TargetChooser Chooser_;
   mutable std::mutex Lock_;
   base::Random Random_;
@@ -226,7 +229,7 @@
   std::unordered_map<std::uint64_t, Flight> Flights_;
   std::map<std::uint64_t, TokenWait> TokenWaits_;
   std::uint64_t LastTicket_ = 0;
-  RateDivision Rates_;
+  CustomerRateLimiter Rates_;
   std::size_t Hosts_ = 1;
   retrying::CrashSuspects Suspects_;
   std::vector<Loss> Losses_;
--- a/libs/dispatch/DispatchTokens.cpp
+++ b/libs/dispatch/DispatchTokens.cpp
@@ -51,16 +51,15 @@
 }
 
 std::optional<base::Duration>
-DispatchSteering::giveToken(const base::CustomerId &Customer,
-                            base::TimePoint Now) {
+DispatchSteering::grantToken(const base::CustomerId &Customer,
+                             base::TimePoint Now) {
   const std::lock_guard Guard(Lock_);
   return Rates_.takeFor(Customer, Now);
 }
 
-void DispatchSteering::heardToken(std::uint64_t Ticket,
-                                  std::optional<base::Duration> Wait,
-                                  base::TimePoint Now,
-                                  std::vector<steering::Wakeup> &Woken) {
+void DispatchSteering::handleTokenResponse(
+    std::uint64_t Ticket, std::optional<base::Duration> Wait,
+    base::TimePoint Now, std::vector<steering::Wakeup> &Woken) {
   const std::lock_guard Guard(Lock_);
   const auto Found = TokenWaits_.find(Ticket);
   if (Found == TokenWaits_.end())
--- a/libs/dispatch/DispatchUpkeep.cpp
+++ b/libs/dispatch/DispatchUpkeep.cpp
@@ -60,7 +60,8 @@
     }
 }
 
-void DispatchSteering::setFleet(const FleetDemand &Fleet, base::TimePoint Now) {
+void DispatchSteering::updateFleetDemand(const FleetDemand &Fleet,
+                                         base::TimePoint Now) {
   const std::lock_guard Guard(Lock_);
   Hosts_ = Fleet.Holders_;
   Rates_.divide(Fleet, Now);
@@ -109,7 +110,7 @@
 }
 
 std::vector<members::ServiceDemand>
-DispatchSteering::loads(base::TimePoint Now) {
+DispatchSteering::serviceDemands(base::TimePoint Now) {
   const std::lock_guard Guard(Lock_);
   std::vector<members::ServiceDemand> All;
   for (auto &[Id, Service] : Services_)
@@ -118,7 +119,8 @@
   return All;
 }
 
-std::vector<members::RuleExecutionTimes> DispatchSteering::workTimes() const {
+std::vector<members::RuleExecutionTimes>
+DispatchSteering::executionTimes() const {
   const std::lock_guard Guard(Lock_);
   std::vector<members::RuleExecutionTimes> All;
   for (const auto &[Rule, Work] : Works_)
@@ -128,7 +130,7 @@
   return All;
 }
 
-void DispatchSteering::mergeWorkTimes(
+void DispatchSteering::mergeExecutionTimes(
     std::span<const members::RuleExecutionTimes> Told) {
   const std::lock_guard Guard(Lock_);
   for (const members::RuleExecutionTimes &Each : Told)
@@ -138,7 +140,7 @@
 }
 
 std::vector<members::CustomerDemand>
-DispatchSteering::demands(base::TimePoint Now) {
+DispatchSteering::customerDemands(base::TimePoint Now) {
   const std::lock_guard Guard(Lock_);
   return Rates_.demands(Now);
 }
--- a/libs/dispatch/TargetTrust.cpp
+++ b/libs/dispatch/TargetHealth.cpp
@@ -1,4 +1,4 @@
-#include "dispatch/TargetTrust.h"
+#include "dispatch/TargetHealth.h"
 
 #include <algorithm>
 
@@ -11,7 +11,7 @@
 
 } // namespace
 
-void TargetTrust::answered(base::TimePoint Now) noexcept {
+void TargetHealth::answered(base::TimePoint Now) noexcept {
   if (isSuspect(Now))
     ProbationUntil_ = Now + Probation;
   SuspectUntil_ = {};
@@ -21,28 +21,28 @@
   RefusalShare_ -= ShareWeight * RefusalShare_;
 }
 
-void TargetTrust::takeOut(base::TimePoint Now) noexcept {
+void TargetHealth::takeOut(base::TimePoint Now) noexcept {
   SuspectUntil_ = Now + EntryProof;
   OutUntil_ = Now + NextOut_;
   NextOut_ = std::min(NextOut_ * 2, LongestOut);
 }
 
-void TargetTrust::unreachable(base::TimePoint Now) noexcept {
+void TargetHealth::unreachable(base::TimePoint Now) noexcept {
   FailureShare_ += ShareWeight * (1 - FailureShare_);
   takeOut(Now);
 }
 
-void TargetTrust::failed(base::TimePoint Now) noexcept {
+void TargetHealth::failed(base::TimePoint Now) noexcept {
   FailureShare_ += ShareWeight * (1 - FailureShare_);
   if (++InRow_ >= FailuresInRow)
     takeOut(Now);
 }
 
-void TargetTrust::refused() noexcept {
+void TargetHealth::refused() noexcept {
   RefusalShare_ += ShareWeight * (1 - RefusalShare_);
 }
 
-double TargetTrust::excess() const noexcept {
+double TargetHealth::excess() const noexcept {
   return std::max(
       {0.0, FailureShare_ - KeptFailures, RefusalShare_ - KeptRefusals});
 }
--- a/libs/dispatch/TargetTrust.h
+++ b/libs/dispatch/TargetHealth.h
@@ -1,5 +1,5 @@
-#ifndef LYCHEE_DISPATCH_TARGETTRUST_H
-#define LYCHEE_DISPATCH_TARGETTRUST_H
+#ifndef LYCHEE_DISPATCH_TARGETHEALTH_H
+#define LYCHEE_DISPATCH_TARGETHEALTH_H
 
 #include "base/Time.h"
 
@@ -26,7 +26,7 @@
 /// failing alike, nobody is left out. A refusal counts less than a failure: it
 /// comes at once, says that nothing ran, and the second send finds a target
 /// that the object's others warmed.
-class TargetTrust {
+class TargetHealth {
 public:
   /// First time out after a failed connect, doubled up to the longest.
   static constexpr base::Duration FirstOut = std::chrono::milliseconds(700);
--- a/libs/dispatch/TargetState.h
+++ b/libs/dispatch/TargetState.h
@@ -1,9 +1,9 @@
 #ifndef LYCHEE_DISPATCH_TARGETSTATE_H
 #define LYCHEE_DISPATCH_TARGETSTATE_H
 
-#include "dispatch/ColdAllowance.h"
+#include "dispatch/ColdTargetRateLimiter.h"
 #include "dispatch/LoadEstimate.h"
-#include "dispatch/TargetTrust.h"
+#include "dispatch/TargetHealth.h"
 #include "dispatch/WarmMemory.h"
 #include "live/TargetRecord.h"
 
@@ -20,8 +20,8 @@
   /// Another target answered at its address; holds until it registers anew.
   bool AddressTaken_ = false;
   LoadEstimate Load_;
-  TargetTrust Trust_;
-  ColdAllowance Cold_;
+  TargetHealth Trust_;
+  ColdTargetRateLimiter Cold_;
   WarmMemory Warm_;
   /// Its time for a request, as a multiple of what is usual for the request's
   /// rule.
--- a/libs/members/TokenExchange.h
+++ b/libs/members/TokenExchange.h
@@ -14,7 +14,7 @@
 /// Asks other hosts of the region for tokens of customers' rates, and answers
 /// their questions: a datagram each way, some 60 bytes. One that is lost is a
 /// question that is not answered in time, and a token that nobody spends.
-/// \see dispatch::RateDivision
+/// \see dispatch::CustomerRateLimiter
 class TokenExchange {
 public:
   struct Callbacks {
--- a/tests/dispatch/DispatchPlayTest.cpp
+++ b/tests/dispatch/DispatchPlayTest.cpp
@@ -129,7 +129,7 @@
     auto Made = std::make_unique<dispatch::DispatchSteering>(
         dispatch::DispatchSettings{
             base::RegionId("r"), base::ZoneId("z"), {}, Number + 1},
-        dispatch::DispatchParts{[this, Number](std::uint64_t Matter) {
+        dispatch::DispatchCallbacks{[this, Number](std::uint64_t Matter) {
           return Matter % Load_.Hosts_ == Number || Load_.Hosts_ < 10;
         }},
         Now_);
--- a/tests/dispatch/DispatchSteeringTest.cpp
+++ b/tests/dispatch/DispatchSteeringTest.cpp
@@ -299,7 +299,7 @@
       View.Alive_ = View.Ready_ = View.HoldsShare_ = true;
       Fleet.Others_.push_back(View);
     }
-    Steering_.setFleet(Fleet, Now_);
+    Steering_.updateFleetDemand(Fleet, Now_);
   }
   Decision arrive() {
     Request Made;
@@ -316,7 +316,7 @@
   const Decision Waits = arrive();
   CHECK(Waits.Action_ == Decision::Action::Wait);
   LONGS_EQUAL(1, Asked_.size());
-  Steering_.heardToken(Waits.Ticket_, std::nullopt, Now_, Woken_);
+  Steering_.handleTokenResponse(Waits.Ticket_, std::nullopt, Now_, Woken_);
   LONGS_EQUAL(1, Woken_.size());
   CHECK(Woken_[0].Ticket_ == Waits.Ticket_);
   CHECK(Woken_[0].Decision_.Action_ == Decision::Action::Send);
@@ -324,7 +324,8 @@
 
 TEST(DispatchTokens, aRequestWithoutATokenIsRefusedAndToldWhen) {
   const Decision Waits = arrive();
-  Steering_.heardToken(Waits.Ticket_, base::Duration(700ms), Now_, Woken_);
+  Steering_.handleTokenResponse(Waits.Ticket_, base::Duration(700ms), Now_,
+                                Woken_);
   LONGS_EQUAL(1, Woken_.size());
   CHECK(Woken_[0].Decision_.Refusal_ == Refusal::OverRate);
   CHECK(Woken_[0].Decision_.Ran_ == Ran::No);
@@ -344,7 +345,7 @@
   Steering_.tick(Now_, Woken_);
   LONGS_EQUAL(1, Woken_.size());
   CHECK(Woken_[0].Decision_.Action_ != Decision::Action::Wait);
-  Steering_.heardToken(Waits.Ticket_, std::nullopt, Now_, Woken_);
+  Steering_.handleTokenResponse(Waits.Ticket_, std::nullopt, Now_, Woken_);
   LONGS_EQUAL(1, Woken_.size());
 }
 
@@ -353,7 +354,7 @@
 TEST(DispatchTokens, aCallerThatLeftGetsNothingSent) {
   const Decision Waits = arrive();
   Steering_.cancel(Waits.Ticket_, Now_);
-  Steering_.heardToken(Waits.Ticket_, std::nullopt, Now_, Woken_);
+  Steering_.handleTokenResponse(Waits.Ticket_, std::nullopt, Now_, Woken_);
   Steering_.tick(Now_ + 1s, Woken_);
   CHECK(Woken_.empty());
 }
@@ -365,9 +366,10 @@
   const Decision Waits = arrive();
   Now_ += dispatch::DispatchSteering::TokenPatience;
   Steering_.tick(Now_, Woken_);
-  Steering_.heardToken(Waits.Ticket_, base::Duration(700ms), Now_, Woken_);
+  Steering_.handleTokenResponse(Waits.Ticket_, base::Duration(700ms), Now_,
+                                Woken_);
   CHECK(Woken_.empty());
-  Steering_.heardToken(Waits.Ticket_, std::nullopt, Now_, Woken_);
+  Steering_.handleTokenResponse(Waits.Ticket_, std::nullopt, Now_, Woken_);
   LONGS_EQUAL(1, Woken_.size());
   CHECK(Woken_[0].Decision_.Action_ == Decision::Action::Send);
 }
@@ -377,7 +379,7 @@
   arrive();
   Now_ += dispatch::DispatchSteering::TokenPatience;
   Steering_.tick(Now_, Woken_);
-  Steering_.heardToken(1, base::Duration(700ms), Now_, Woken_);
+  Steering_.handleTokenResponse(1, base::Duration(700ms), Now_, Woken_);
   Now_ += dispatch::DispatchSteering::TokenPatience;
   Steering_.tick(Now_, Woken_);
   LONGS_EQUAL(1, Woken_.size());
--- a/tests/dispatch/RateDivisionTest.cpp
+++ b/tests/dispatch/RateDivisionTest.cpp
@@ -1,4 +1,4 @@
-#include "dispatch/RateDivision.h"
+#include "dispatch/CustomerRateLimiter.h"
 
 #include "base/Random.h"
 #include "members/DemandDeltaEncoder.h"
--- a/tests/dispatch/SmallDecisionsTest.cpp
+++ b/tests/dispatch/SmallDecisionsTest.cpp
@@ -1,8 +1,8 @@
-#include "dispatch/ColdAllowance.h"
+#include "dispatch/ColdTargetRateLimiter.h"
 #include "dispatch/LoadEstimate.h"
 #include "dispatch/RegionLoads.h"
 #include "dispatch/SendBudget.h"
-#include "dispatch/TargetTrust.h"
+#include "dispatch/TargetHealth.h"
 
 #include "CppUTest/TestHarness.h"
 
