--- a/apps/lycheed/Daemon.cpp
+++ b/apps/lycheed/Daemon.cpp
@@ -50,7 +50,8 @@
       Holder_(Settings.Region_),
       HttpStore_(Control_.get_executor(), storeOptions(Settings)),
       Store_(HttpStore_, Settings.StoreCallsPerSecond_),
-      Rates_(exchange::ExchangeNode::processId(Settings.Host_, Incarnation_)),
+      Rates_(
+          exchange::ExchangeNode::incarnationId(Settings.Host_, Incarnation_)),
       Steering_(steeringSettings(Settings, Incarnation_, Rates_)),
       Keys_(Holder_,
             [this](base::TimePoint Now) {
@@ -67,7 +68,7 @@
       ClaimStore_(HttpStore_, ClaimCallsPerSecond),
       ClaimService_(
           Control_, ClaimStore_, PeerClient_, Handlers_,
-          exchange::ExchangeNode::processId(Settings.Host_, Incarnation_),
+          exchange::ExchangeNode::incarnationId(Settings.Host_, Incarnation_),
           Incarnation_),
       Claims_(ClaimService_), Gateway_(gateway::gatewaySettingsOf(Settings),
                                        {Steering_, Keys_, Router_, Directory_,
@@ -82,7 +83,8 @@
   bindOperators();
   Operators_.onCommit([this](std::uint64_t StoreVersion, std::string RootText,
                              std::map<std::string, std::string> Chunks) {
-    Fleet_.wroteSettings(StoreVersion, std::move(RootText), std::move(Chunks));
+    Fleet_.notifySettingsWritten(StoreVersion, std::move(RootText),
+                                 std::move(Chunks));
   });
 }
 
@@ -95,18 +97,18 @@
   Options.Zone_ = Settings_.Zone_;
   Options.Self_.Host_ = Settings_.Host_;
   Options.Self_.Region_ = Settings_.Region_;
-  Options.Self_.Peers_ = Settings_.Peers_.text();
-  Options.Self_.Callers_ = Settings_.Callers_.text();
+  Options.Self_.PeerAddress_ = Settings_.Peers_.text();
+  Options.Self_.CallerAddress_ = Settings_.Callers_.text();
   Options.Self_.Incarnation_ = Incarnation_;
   for (const settings::Endpoint &Each : Settings_.Seeds_)
-    Options.Seeds_.push_back(Each.text());
-  Options.Seed_ = drawSeed();
+    Options.SeedPeers_.push_back(Each.text());
+  Options.RandomSeed_ = drawSeed();
   return Options;
 }
 
 fleet::FleetListeners Daemon::fleetListeners() {
   fleet::FleetListeners Listeners;
-  Listeners.SettingsInForce_ = [this](const settings::SettingsTree &Tree) {
+  Listeners.SettingsApplied_ = [this](const settings::SettingsTree &Tree) {
     putInForce(Tree);
   };
   Listeners.DirectoryChanged_ = [this](const fleet::Directory &Changed) {
@@ -118,7 +120,7 @@
   return Listeners;
 }
 
-exchange::ExchangeParts Daemon::exchangeParts() {
+exchange::ExchangeDependencies Daemon::exchangeParts() {
   return {Steering_, Rates_,
           [this](std::vector<steering::Wakeup> &Woken) {
             Gateway_.deliver(Woken, SystemClock::monotonicNow());
@@ -132,8 +134,8 @@
 /// lease is read first, so that it never belongs to a newer record than the
 /// admission.
 base::TimePoint Daemon::leaseEnd() {
-  const base::TimePoint Until = Fleet_.guard().until();
-  const std::uint64_t Admitted = Fleet_.admitted();
+  const base::TimePoint Until = Fleet_.leaseGuard().expiry();
+  const std::uint64_t Admitted = Fleet_.admissionGeneration();
   if (Admitted == 0)
     return {};
   std::uint64_t First = 0;
@@ -189,7 +191,7 @@
   const fleet::Member *Self = Changed.find(Settings_.Host_);
   const std::uint64_t First = Admission_;
   const bool IsMember = Self != nullptr && Self->Incarnation_ == Incarnation_ &&
-                        (First == 0 || Self->Admitted_ == First);
+                        (First == 0 || Self->AdmissionGeneration_ == First);
   if (IsMember) {
     WasMember_ = true;
     return;
@@ -251,7 +253,7 @@
   const std::shared_ptr<const settings::Intent> Current = intent();
   Read.SettingsVersion_ = Current ? Current->Version_ : 0;
   Read.SettingsAge_ = Fleet_.settingsAge(Now);
-  Read.LeaseStands_ = Now < Fleet_.guard().until();
+  Read.LeaseStands_ = Now < Fleet_.guard().expiry();
   Read.Epoch_ = Exchange_.epoch();
   Read.EpochSettled_ = Exchange_.settled();
   Read.InFlight_ = Gateway_.inFlight();
@@ -333,7 +335,7 @@
   const std::shared_ptr<const settings::Intent> Current = intent();
   Status.SettingsVersion_ = Current ? Current->Version_ : 0;
   Status.SettingsAge_ = Fleet_.settingsAge(Now).value_or(base::Duration::max());
-  Status.LeaseValid_ = Now < Fleet_.guard().until();
+  Status.LeaseValid_ = Now < Fleet_.guard().expiry();
   Status.Stopping_ = Directory_.leaving();
   Status.RequestsInFlight_ = Gateway_.inFlight();
   return Status;
@@ -343,7 +345,7 @@
   std::vector<operations::MemberStatus> Members;
   for (const auto &[Id, Zone] : Fleet_.directory().Zones_)
     for (const fleet::Member &Each : Zone.Members_)
-      Members.push_back({Each.Host_, Id, Each.Peers_, Each.Leaving_});
+      Members.push_back({Each.Host_, Id, Each.PeerAddress_, Each.Leaving_});
   return Members;
 }
 
--- a/apps/lycheed/Daemon.h
+++ b/apps/lycheed/Daemon.h
@@ -57,7 +57,7 @@
   ControlReadings readControl() const;
   fleet::FleetNodeOptions fleetOptions() const;
   fleet::FleetListeners fleetListeners();
-  exchange::ExchangeParts exchangeParts();
+  exchange::ExchangeDependencies exchangeParts();
   base::TimePoint leaseEnd();
   void putInForce(const settings::SettingsTree &Tree);
   void takeDirectory(const fleet::Directory &Changed);
--- a/apps/lycheed/DaemonParts.cpp
+++ b/apps/lycheed/DaemonParts.cpp
@@ -33,7 +33,8 @@
 steeringSettings(const settings::DaemonSettings &Settings,
                  std::uint64_t Incarnation, budget::BudgetBook &Rates) {
   steering::SteeringSettings Made;
-  Made.Host_ = exchange::ExchangeNode::processId(Settings.Host_, Incarnation);
+  Made.Host_ =
+      exchange::ExchangeNode::incarnationId(Settings.Host_, Incarnation);
   Made.Region_ = Settings.Region_;
   Made.Seed_ = drawSeed();
   Made.Rates_ = &Rates;
@@ -58,7 +59,7 @@
   for (const auto &[Id, Zone] : From.Zones_)
     for (const fleet::Member &Each : Zone.Members_)
       if (!Each.Leaving_)
-        Hosts.push_back({Each.Host_, Each.Region_, Id, Each.Callers_});
+        Hosts.push_back({Each.Host_, Each.Region_, Id, Each.CallerAddress_});
   return Hosts;
 }
 
@@ -68,8 +69,8 @@
   for (const auto &[Id, Zone] : From.Zones_)
     for (const fleet::Member &Each : Zone.Members_)
       Members.push_back(
-          {exchange::ExchangeNode::processId(Each.Host_, Each.Incarnation_),
-           Each.Peers_});
+          {exchange::ExchangeNode::incarnationId(Each.Host_, Each.Incarnation_),
+           Each.PeerAddress_});
   return Members;
 }
 
--- a/bench/shares/SharesPlay.cpp
+++ b/bench/shares/SharesPlay.cpp
@@ -38,7 +38,7 @@
   for (std::size_t Host = 0; Host < HostCount; ++Host) {
     Names_.emplace_back("host-" + std::to_string(Host));
     Books_.push_back(std::make_unique<budget::BudgetBook>(Names_.back()));
-    Offers_.push_back(std::make_unique<exchange::OfferBook>());
+    Offers_.push_back(std::make_unique<exchange::SpareOfferTable>());
     Books_.back()->setTotal(Budget, Total, Now_);
     Books_.back()->enterEpoch({1, HostCount, Now_ + 2 * Length}, Now_);
     Books_.back()->settle(1, Now_);
@@ -138,7 +138,7 @@
       for (std::size_t To = 0; To < HostCount; ++To)
         if (To != From)
           post(delayBetween(From, To), [this, From, To, Told] {
-            Offers_[To]->heard(Names_[From], Told, Now_);
+            Offers_[To]->update(Names_[From], Told, Now_);
           });
     }
     for (const budget::Ask &Asked : Books_[From]->asksDue(Now_)) {
--- a/bench/shares/SharesPlay.h
+++ b/bench/shares/SharesPlay.h
@@ -4,7 +4,7 @@
 #include "base/Random.h"
 #include "base/Time.h"
 #include "budget/BudgetBook.h"
-#include "exchange/OfferBook.h"
+#include "exchange/SpareOfferTable.h"
 
 #include <cstdint>
 #include <deque>
@@ -72,7 +72,7 @@
   base::Random Random_;
   base::TimePoint Now_{std::chrono::seconds(100)};
   std::vector<std::unique_ptr<budget::BudgetBook>> Books_;
-  std::vector<std::unique_ptr<exchange::OfferBook>> Offers_;
+  std::vector<std::unique_ptr<exchange::SpareOfferTable>> Offers_;
   std::vector<base::HostId> Names_;
   std::vector<bool> Alive_;
   std::multimap<base::TimePoint, std::function<void()>> Messages_;
--- a/libs/exchange/EpochTracker.h
+++ b/libs/exchange/EpochTracker.h
@@ -12,7 +12,7 @@
 /// Follows the fleet's membership epochs at one host and tells when the newest
 /// has settled. A host that the directory no longer names has no lease: its
 /// record was written without it only after the lease had run out
-/// (\see fleet::ZoneKeeper), so it is not waited for.
+/// (\see fleet::ZoneRecordPlanner), so it is not waited for.
 ///
 /// A host that has just started knows no older epoch, but its peers may still
 /// hold shares of one; it waits for each of them to say that it has entered.
--- a/libs/exchange/ExchangeNode.cpp
+++ b/libs/exchange/ExchangeNode.cpp
@@ -37,8 +37,8 @@
 
 } // namespace
 
-base::HostId ExchangeNode::processId(const base::HostId &Name,
-                                     std::uint64_t Incarnation) {
+base::HostId ExchangeNode::incarnationId(const base::HostId &Name,
+                                         std::uint64_t Incarnation) {
   return base::HostId(Name.name() + "#" + std::to_string(Incarnation));
 }
 
@@ -46,9 +46,10 @@
                            fleet::PeerClient &Peers,
                            fleet::RpcDispatcher &Handlers,
                            const base::HostId &SelfName,
-                           std::uint64_t Incarnation, ExchangeParts Parts)
+                           std::uint64_t Incarnation,
+                           ExchangeDependencies Parts)
     : Executor_(Executor), Peers_(Peers),
-      Self_(processId(SelfName, Incarnation)), Parts_(std::move(Parts)),
+      Self_(incarnationId(SelfName, Incarnation)), Parts_(std::move(Parts)),
       Random_(base::stableHash(Self_.name())) {
   bind(Handlers);
 }
@@ -89,11 +90,11 @@
   std::map<base::HostId, std::string> Addresses;
   for (const auto &[Id, Zone] : Changed.Zones_)
     for (const fleet::Member &Each : Zone.Members_) {
-      const base::HostId Process = processId(Each.Host_, Each.Incarnation_);
+      const base::HostId Process = incarnationId(Each.Host_, Each.Incarnation_);
       Processes.push_back(Process);
       Members.push_back({Process, Each.Region_});
       if (Process != Self_)
-        Addresses[Process] = Each.Peers_;
+        Addresses[Process] = Each.PeerAddress_;
     }
   {
     const std::scoped_lock Guard(Lock_);
@@ -110,7 +111,7 @@
   Parts_.Steering_.enterEpoch(Changed.Epoch_, Members);
   Parts_.Rates_.enterEpoch({Changed.Epoch_,
                             static_cast<std::uint32_t>(Processes.size()),
-                            Parts_.LeaseUntil_(Changed.Epoch_)},
+                            Parts_.LeaseExpiry_(Changed.Epoch_)},
                            Now);
 }
 
@@ -118,7 +119,7 @@
   const std::uint64_t Epoch = Epochs_.epoch();
   if (Epoch == 0)
     return;
-  Parts_.Rates_.renewLease(Epoch, Parts_.LeaseUntil_(Epoch), Now);
+  Parts_.Rates_.renewLease(Epoch, Parts_.LeaseExpiry_(Epoch), Now);
   if (Parts_.Steering_.fitsEpoch())
     Epochs_.entered(Self_, Epoch);
   if (Settled_ == Epoch || !Epochs_.settled())
@@ -222,7 +223,7 @@
   std::vector<steering::Wakeup> Woken;
   Parts_.Steering_.acceptSlots(*Gift, SystemClock::monotonicNow(), Woken);
   if (!Woken.empty())
-    Parts_.Wake_(Woken);
+    Parts_.OnWakeups_(Woken);
 }
 
 asio::awaitable<void> ExchangeNode::askRate(std::string Address,
@@ -246,7 +247,7 @@
   const base::TimePoint Now = SystemClock::monotonicNow();
   Parts_.Steering_.heardRound(Report->Round_, Now);
   Parts_.Steering_.suspects().merge(Report->Evidence_, Now);
-  Offers_.heard(Report->Round_.Host_, Report->Offers_, Now);
+  Offers_.update(Report->Round_.Host_, Report->Offers_, Now);
   Epochs_.entered(Report->Round_.Host_, Report->Entered_);
   return {0, Nothing};
 }
--- a/libs/exchange/ExchangeNode.h
+++ b/libs/exchange/ExchangeNode.h
@@ -5,7 +5,7 @@
 #include "budget/BudgetBook.h"
 #include "exchange/EpochTracker.h"
 #include "exchange/HostReport.h"
-#include "exchange/OfferBook.h"
+#include "exchange/SpareOfferTable.h"
 #include "fleet/Directory.h"
 #include "fleet/PeerClient.h"
 #include "fleet/rpc/RpcDispatcher.h"
@@ -25,14 +25,14 @@
 namespace lychee::exchange {
 
 /// What the exchange moves, and whom it tells.
-struct ExchangeParts {
+struct ExchangeDependencies {
   steering::FleetSteering &Steering_;
   budget::BudgetBook &Rates_;
   /// Takes decisions on requests that waited for the slots of a gift.
-  std::function<void(std::vector<steering::Wakeup> &)> Wake_;
+  std::function<void(std::vector<steering::Wakeup> &)> OnWakeups_;
   /// \returns until when this host's lease in \p Epoch stands; a time in the
   /// past where it has none. Asked again before each use.
-  std::function<base::TimePoint(std::uint64_t Epoch)> LeaseUntil_;
+  std::function<base::TimePoint(std::uint64_t Epoch)> LeaseExpiry_;
 };
 
 /// One host's exchange with its peers: tells them every ReportInterval what it
@@ -48,14 +48,14 @@
   ExchangeNode(const boost::asio::any_io_executor &Executor,
                fleet::PeerClient &Peers, fleet::RpcDispatcher &Handlers,
                const base::HostId &SelfName, std::uint64_t Incarnation,
-               ExchangeParts Parts);
+               ExchangeDependencies Parts);
   ExchangeNode(const ExchangeNode &) = delete;
   ExchangeNode &operator=(const ExchangeNode &) = delete;
 
   /// Names one start of one host: a restarted host holds nothing of what it
   /// held before.
-  static base::HostId processId(const base::HostId &Name,
-                                std::uint64_t Incarnation);
+  static base::HostId incarnationId(const base::HostId &Name,
+                                    std::uint64_t Incarnation);
 
   void start();
   void stop() noexcept { Stopped_ = true; }
@@ -99,9 +99,9 @@
   const boost::asio::any_io_executor Executor_;
   fleet::PeerClient &Peers_;
   const base::HostId Self_;
-  const ExchangeParts Parts_;
+  const ExchangeDependencies Parts_;
   EpochTracker Epochs_;
-  OfferBook Offers_;
+  SpareOfferTable Offers_;
   /// Of the ask loop alone.
   base::Random Random_;
   std::atomic<bool> Stopped_ = false;
--- a/libs/exchange/OfferBook.cpp
+++ b/libs/exchange/SpareOfferTable.cpp
@@ -1,13 +1,13 @@
-#include "exchange/OfferBook.h"
+#include "exchange/SpareOfferTable.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace lychee::exchange {
 
-void OfferBook::heard(const base::HostId &Peer,
-                      std::span<const budget::SpareOffer> Offers,
-                      base::TimePoint Now) {
+void SpareOfferTable::update(const base::HostId &Peer,
+                             std::span<const budget::SpareOffer> Offers,
+                             base::TimePoint Now) {
   const std::scoped_lock Guard(Lock_);
   for (auto &[Budget, ByPeer] : Offers_)
     ByPeer.erase(Peer);
@@ -15,7 +15,7 @@
     Offers_[Each.Budget_][Peer] = {Each, Now};
 }
 
-void OfferBook::setPeers(std::span<const base::HostId> Peers) {
+void SpareOfferTable::setPeers(std::span<const base::HostId> Peers) {
   const std::scoped_lock Guard(Lock_);
   Peers_.assign(Peers.begin(), Peers.end());
   for (auto &[Budget, ByPeer] : Offers_)
@@ -25,9 +25,9 @@
     });
 }
 
-std::vector<base::HostId> OfferBook::takeDonors(const budget::Ask &Asked,
-                                                base::TimePoint Now,
-                                                base::Random &Random) {
+std::vector<base::HostId> SpareOfferTable::takeDonors(const budget::Ask &Asked,
+                                                      base::TimePoint Now,
+                                                      base::Random &Random) {
   const std::scoped_lock Guard(Lock_);
   const bool IsShort = Asked.Tokens_ > 0;
   const std::size_t Most = IsShort ? DonorsAtOnce : 1;
@@ -48,8 +48,8 @@
   return Donors;
 }
 
-std::optional<base::HostId> OfferBook::takeBest(const budget::Ask &Asked,
-                                                base::TimePoint Now) {
+std::optional<base::HostId> SpareOfferTable::takeBest(const budget::Ask &Asked,
+                                                      base::TimePoint Now) {
   const auto Found = Offers_.find(Asked.Budget_);
   if (Found == Offers_.end())
     return std::nullopt;
--- a/libs/exchange/OfferBook.h
+++ b/libs/exchange/SpareOfferTable.h
@@ -1,5 +1,5 @@
-#ifndef LYCHEE_EXCHANGE_OFFERBOOK_H
-#define LYCHEE_EXCHANGE_OFFERBOOK_H
+#ifndef LYCHEE_EXCHANGE_SPAREOFFERTABLE_H
+#define LYCHEE_EXCHANGE_SPAREOFFERTABLE_H
 
 #include "base/Id.h"
 #include "base/Random.h"
@@ -19,19 +19,19 @@
 /// offer is used once: a host that was asked has given what it could, and a
 /// second ask before its next report would find nothing. Thread-safe, no I/O.
 /// \see budget::ExchangePolicy for how much
-class OfferBook {
+class SpareOfferTable {
 public:
   /// A host whose report would say nothing new repeats it every four seconds;
   /// one that missed two is not heard, and its offer not trusted.
   static constexpr base::Duration OfferLife = std::chrono::seconds(10);
 
-  OfferBook() = default;
-  OfferBook(const OfferBook &) = delete;
-  OfferBook &operator=(const OfferBook &) = delete;
+  SpareOfferTable() = default;
+  SpareOfferTable(const SpareOfferTable &) = delete;
+  SpareOfferTable &operator=(const SpareOfferTable &) = delete;
 
   /// \p Peer's newest report; replaces what it said before.
-  void heard(const base::HostId &Peer,
-             std::span<const budget::SpareOffer> Offers, base::TimePoint Now);
+  void update(const base::HostId &Peer,
+              std::span<const budget::SpareOffer> Offers, base::TimePoint Now);
 
   /// Sets who may be asked at all.
   void setPeers(std::span<const base::HostId> Peers);
--- a/libs/fleet/Codec.cpp
+++ b/libs/fleet/Codec.cpp
@@ -56,11 +56,11 @@
   Json::Value Made(Json::objectValue);
   Made["host"] = From.Host_.name();
   Made["region"] = From.Region_.name();
-  Made["peers"] = From.Peers_;
-  Made["callers"] = From.Callers_;
+  Made["peers"] = From.PeerAddress_;
+  Made["callers"] = From.CallerAddress_;
   Made["incarnation"] = Json::UInt64(From.Incarnation_);
   Made["sequence"] = Json::UInt64(From.Sequence_);
-  Made["admitted"] = Json::UInt64(From.Admitted_);
+  Made["admitted"] = Json::UInt64(From.AdmissionGeneration_);
   Made["known"] = Json::UInt64(From.KnownGeneration_);
   if (From.Leaving_)
     Made["leaving"] = true;
@@ -71,11 +71,11 @@
   Member Made;
   const bool Read = From.isObject() && readId(From, "host", Made.Host_) &&
                     readId(From, "region", Made.Region_) &&
-                    readText(From, "peers", Made.Peers_) &&
-                    readText(From, "callers", Made.Callers_) &&
+                    readText(From, "peers", Made.PeerAddress_) &&
+                    readText(From, "callers", Made.CallerAddress_) &&
                     readNumber(From, "incarnation", Made.Incarnation_) &&
                     readNumber(From, "sequence", Made.Sequence_) &&
-                    readNumber(From, "admitted", Made.Admitted_) &&
+                    readNumber(From, "admitted", Made.AdmissionGeneration_) &&
                     readNumber(From, "known", Made.KnownGeneration_);
   if (!Read || Made.Host_.empty())
     return std::nullopt;
--- a/libs/fleet/FleetNode.cpp
+++ b/libs/fleet/FleetNode.cpp
@@ -58,9 +58,10 @@
                      FleetNodeOptions Options, FleetListeners Listeners)
     : Strand_(asio::make_strand(Context)), Store_(Used), Peers_(Peers),
       Options_(std::move(Options)), Listeners_(std::move(Listeners)),
-      State_(Options_.Terms_, Options_.Zone_, Options_.Self_, now()),
-      Spread_(Strand_, State_, Store_, Peers_, Listeners_, Options_.Seed_),
-      Random_(Options_.Seed_) {
+      State_(Options_.LeaseTiming_, Options_.Zone_, Options_.Self_, now()),
+      Spread_(Strand_, State_, Store_, Peers_, Listeners_,
+              Options_.RandomSeed_),
+      Random_(Options_.RandomSeed_) {
   FleetHandlers::bind(Handlers, State_, Spread_,
                       [this](const std::string &From) {
                         asio::co_spawn(Strand_, beatBack(From), asio::detached);
@@ -83,7 +84,7 @@
 
 base::Duration FleetNode::beatSpan() {
   const auto Age = settingsAge(now());
-  const base::Duration Span = Options_.Terms_.BeatEvery_;
+  const base::Duration Span = Options_.LeaseTiming_.HeartbeatInterval_;
   return Age && *Age < StaleAfter ? Span : Span / BeatsWhenStale;
 }
 
@@ -105,7 +106,7 @@
   bool Heard = Superiors.empty();
   for (std::size_t Try = 0; Try < Superiors.size() && Try < TriesPerBeat;
        ++Try) {
-    Heard = co_await beatTo(Superiors[Try].Peers_, Request);
+    Heard = co_await beatTo(Superiors[Try].PeerAddress_, Request);
     if (Heard)
       break;
   }
@@ -132,11 +133,11 @@
   for (const auto &[Zone, Each] : State_.directory().Zones_)
     if (Zone != Options_.Zone_)
       for (const Member &Listed : Each.Members_)
-        Found.push_back(Listed.Peers_);
+        Found.push_back(Listed.PeerAddress_);
   if (!Found.empty())
     return Found;
-  for (const std::string &Seed : Options_.Seeds_)
-    if (Seed != Options_.Self_.Peers_)
+  for (const std::string &Seed : Options_.SeedPeers_)
+    if (Seed != Options_.Self_.PeerAddress_)
       Found.push_back(Seed);
   return Found;
 }
@@ -163,7 +164,7 @@
 asio::awaitable<void> FleetNode::hintRecord(std::string Peer) {
   Json::Value Made(Json::objectValue);
   Made["zone"] = Options_.Zone_.name();
-  Made["from"] = Options_.Self_.Peers_;
+  Made["from"] = Options_.Self_.PeerAddress_;
   Made["record"] = Json::UInt64(State_.versions().Record_);
   base::Error Last;
   co_await Peers_.call(std::move(Peer), "fleet.hint", Codec::write(Made),
@@ -175,8 +176,9 @@
   Asked["admitted"] = Json::UInt64(State_.admitted());
   const base::TimePoint AskedAt = now();
   base::Error Last;
-  const std::optional<std::string> Answer = co_await Peers_.call(
-      Peer.Peers_, "fleet.pledge", Codec::write(Asked), CallTimeout, Last);
+  const std::optional<std::string> Answer =
+      co_await Peers_.call(Peer.PeerAddress_, "fleet.pledge",
+                           Codec::write(Asked), CallTimeout, Last);
   const auto Parsed = Answer ? Codec::parse(*Answer) : std::nullopt;
   if (Parsed && (*Parsed)["pledged"].isBool() && (*Parsed)["pledged"].asBool())
     State_.pledged(Peer.Host_, AskedAt, now());
@@ -205,7 +207,7 @@
     if (!ReadBack_)
       if (std::optional<RecordPlan> Plan = State_.beginWrite(now()))
         co_await writeRecord(std::move(*Plan));
-    co_await waitFor(Options_.Terms_.RenewEvery_ / 4);
+    co_await waitFor(Options_.LeaseTiming_.RenewalInterval_ / 4);
   }
 }
 
@@ -240,7 +242,7 @@
     State_.sawRecord(Plan.Next_, Result.Version_, now());
   if (Result.Status_ == store::PutStatus::Written && Plan.Reason_ != "renew")
     for (const Member &Each : State_.zonePeers())
-      asio::co_spawn(Strand_, hintRecord(Each.Peers_), asio::detached);
+      asio::co_spawn(Strand_, hintRecord(Each.PeerAddress_), asio::detached);
   // What stands there now tells what became of a lost answer.
   ReadBack_ = Result.Status_ == store::PutStatus::Unknown ||
               Result.Status_ == store::PutStatus::Conflict;
@@ -328,7 +330,8 @@
     Told.resize(TriesPerBeat);
   for (const Member &Each : Told) {
     base::Error Last;
-    co_await Peers_.call(Each.Peers_, "fleet.leave", "{}", CallTimeout, Last);
+    co_await Peers_.call(Each.PeerAddress_, "fleet.leave", "{}", CallTimeout,
+                         Last);
   }
   State_.guard().drop();
 }
--- a/libs/fleet/FleetNode.h
+++ b/libs/fleet/FleetNode.h
@@ -28,10 +28,10 @@
   /// start, such as the milliseconds since 1970.
   Member Self_;
   /// Peer listeners asked while no member is known.
-  std::vector<std::string> Seeds_;
-  LeaseTerms Terms_;
+  std::vector<std::string> SeedPeers_;
+  LeaseTiming LeaseTiming_;
   /// Seeds choices among peers.
-  std::uint64_t Seed_ = 1;
+  std::uint64_t RandomSeed_ = 1;
 };
 
 /// One host's part in the fleet: heartbeats, its zone's record where it is the
@@ -58,13 +58,13 @@
   /// Tells with each heartbeat that this host takes nothing new.
   void setLeaving() { State_.setLeaving(); }
 
-  LeaseGuard &guard() noexcept { return State_.guard(); }
+  LeaseGuard &leaseGuard() noexcept { return State_.guard(); }
   const LeaseGuard &guard() const noexcept { return State_.guard(); }
   Directory directory() const { return State_.directory(); }
   ZoneRecord record() const { return State_.record(); }
   bool isRelay() const { return State_.isRelay(); }
   /// \copydoc FleetState::admitted
-  std::uint64_t admitted() const { return State_.admitted(); }
+  std::uint64_t admissionGeneration() const { return State_.admitted(); }
   std::uint64_t settingsInForce() { return State_.inForce(); }
 
   /// \returns how long ago every change accepted until then was known to be in
@@ -73,8 +73,8 @@
   std::optional<base::Duration> settingsAge(base::TimePoint Now) const;
 
   /// This host wrote the settings' root at \p StoreVersion.
-  void wroteSettings(std::uint64_t StoreVersion, std::string RootText,
-                     std::map<std::string, std::string> Chunks) {
+  void notifySettingsWritten(std::uint64_t StoreVersion, std::string RootText,
+                             std::map<std::string, std::string> Chunks) {
     Spread_.wrote(StoreVersion, std::move(RootText), std::move(Chunks));
   }
 
--- a/libs/fleet/FleetState.cpp
+++ b/libs/fleet/FleetState.cpp
@@ -50,9 +50,9 @@
 
 } // namespace
 
-FleetState::FleetState(const LeaseTerms &Terms, const base::ZoneId &Zone,
+FleetState::FleetState(const LeaseTiming &Terms, const base::ZoneId &Zone,
                        const Member &Self, base::TimePoint Now)
-    : Terms_(Terms), Zone_(Zone), Address_(Self.Peers_), Self_(Self),
+    : Terms_(Terms), Zone_(Zone), Address_(Self.PeerAddress_), Self_(Self),
       Holder_(Terms), Keeper_(Terms, Zone, Self, Now) {}
 
 Json::Value FleetState::beat(base::TimePoint Now) {
@@ -63,7 +63,7 @@
   Vote_.stated(Self_.Host_, {Replica_.newest(), Now});
   Json::Value Made(Json::objectValue);
   Made["zone"] = Zone_.name();
-  Made["from"] = Self_.Peers_;
+  Made["from"] = Self_.PeerAddress_;
   Made["record"] = Json::UInt64(Keeper_.version());
   Made["directory"] = Json::UInt64(DirectoryVersion_);
   Made["settings"] = Json::UInt64(Replica_.newest());
@@ -168,7 +168,7 @@
                         base::TimePoint Now) {
   const std::lock_guard Guard(Lock_);
   const Member *Listed = Keeper_.record().find(Host);
-  if (!Listed || Listed->Admitted_ != Admitted)
+  if (!Listed || Listed->AdmissionGeneration_ != Admitted)
     return false;
   return Keeper_.pledge(Host, Now);
 }
@@ -176,7 +176,9 @@
 std::uint64_t FleetState::admitted() const {
   const std::lock_guard Guard(Lock_);
   const Member *Own = Keeper_.record().find(Self_.Host_);
-  return Own && Own->Incarnation_ == Self_.Incarnation_ ? Own->Admitted_ : 0;
+  return Own && Own->Incarnation_ == Self_.Incarnation_
+             ? Own->AdmissionGeneration_
+             : 0;
 }
 
 void FleetState::pledged(const base::HostId &Host, base::TimePoint AskedAt,
@@ -364,8 +366,7 @@
 
 bool FleetState::needsPledges(base::TimePoint Now) const {
   const std::lock_guard Guard(Lock_);
-  return Keeper_.isMember() &&
-         Holder_.confirmedUntil() - Now < Terms_.Length_ / 2;
+  return Keeper_.isMember() && Holder_.confirmedUntil() - Now < Terms_.Ttl_ / 2;
 }
 
 } // namespace lychee::fleet
--- a/libs/fleet/FleetState.h
+++ b/libs/fleet/FleetState.h
@@ -6,7 +6,7 @@
 #include "fleet/LeaseGuard.h"
 #include "fleet/LeaseHolder.h"
 #include "fleet/SettingsReplica.h"
-#include "fleet/ZoneKeeper.h"
+#include "fleet/ZoneRecordPlanner.h"
 
 #include <json/json.h>
 #include <map>
@@ -34,7 +34,7 @@
 /// held for microseconds. \see FleetNode, which makes the calls
 class FleetState {
 public:
-  FleetState(const LeaseTerms &Terms, const base::ZoneId &Zone,
+  FleetState(const LeaseTiming &Terms, const base::ZoneId &Zone,
              const Member &Self, base::TimePoint Now);
   FleetState(const FleetState &) = delete;
   FleetState &operator=(const FleetState &) = delete;
@@ -127,13 +127,13 @@
   std::vector<base::HostId> voters(base::TimePoint Now) const;
   std::optional<Freshness> zoneFreshness(base::TimePoint Now) const;
 
-  const LeaseTerms Terms_;
+  const LeaseTiming Terms_;
   const base::ZoneId Zone_;
   const std::string Address_;
   mutable std::mutex Lock_;
   Member Self_;
   LeaseHolder Holder_;
-  ZoneKeeper Keeper_;
+  ZoneRecordPlanner Keeper_;
   LeaseGuard Guard_;
   Directory Directory_;
   std::uint64_t DirectoryVersion_ = 0;
--- a/libs/fleet/LeaseGuard.cpp
+++ b/libs/fleet/LeaseGuard.cpp
@@ -6,9 +6,9 @@
 
 std::string_view nameOf(LeaseState State) noexcept {
   switch (State) {
-  case LeaseState::Standing:
+  case LeaseState::Valid:
     return "standing";
-  case LeaseState::Lapsed:
+  case LeaseState::Expired:
     return "lapsed";
   case LeaseState::OtherEpoch:
     return "other_epoch";
@@ -19,11 +19,11 @@
 LeaseState LeaseGuard::check(base::TimePoint Now, std::uint64_t Epoch) const {
   const std::lock_guard Guard(Lock_);
   if (Now >= Until_)
-    return LeaseState::Lapsed;
-  return Epoch == Epoch_ ? LeaseState::Standing : LeaseState::OtherEpoch;
+    return LeaseState::Expired;
+  return Epoch == Epoch_ ? LeaseState::Valid : LeaseState::OtherEpoch;
 }
 
-base::TimePoint LeaseGuard::until() const {
+base::TimePoint LeaseGuard::expiry() const {
   const std::lock_guard Guard(Lock_);
   return Until_;
 }
--- a/libs/fleet/LeaseGuard.h
+++ b/libs/fleet/LeaseGuard.h
@@ -11,9 +11,9 @@
 
 /// Whether this host may use what its lease covers.
 enum class LeaseState {
-  Standing,
+  Valid,
   /// It ran out, or was never given.
-  Lapsed,
+  Expired,
   /// It stands, but what is asked about belongs to another epoch.
   OtherEpoch,
 };
@@ -34,7 +34,7 @@
   LeaseState check(base::TimePoint Now, std::uint64_t Epoch) const;
 
   /// When the lease ends unless it is extended, by this host's clock.
-  base::TimePoint until() const;
+  base::TimePoint expiry() const;
 
   /// The epoch in force on this host; 0 before the first.
   std::uint64_t epoch() const;
--- a/libs/fleet/LeaseHolder.cpp
+++ b/libs/fleet/LeaseHolder.cpp
@@ -8,7 +8,7 @@
   ++Last_;
   Sent_.push_back({Last_, Now});
   // A confirmation of an older one could extend nothing any more.
-  while (Sent_.front().At_ + Terms_.Length_ < Now)
+  while (Sent_.front().At_ + Terms_.Ttl_ < Now)
     Sent_.pop_front();
   return Last_;
 }
@@ -16,15 +16,15 @@
 void LeaseHolder::confirm(std::uint64_t Sequence) {
   while (!Sent_.empty() && Sent_.front().Sequence_ <= Sequence) {
     if (Sent_.front().Sequence_ == Sequence)
-      Confirmed_ = std::max(Confirmed_, Sent_.front().At_ +
-                                            Terms_.shortened(Terms_.Length_));
+      Confirmed_ = std::max(Confirmed_,
+                            Sent_.front().At_ + Terms_.shortened(Terms_.Ttl_));
     Sent_.pop_front();
   }
 }
 
 void LeaseHolder::pledge(const base::HostId &Host, base::TimePoint AskedAt) {
   base::TimePoint &Until = Pledged_[Host];
-  Until = std::max(Until, AskedAt + Terms_.shortened(Terms_.Length_));
+  Until = std::max(Until, AskedAt + Terms_.shortened(Terms_.Ttl_));
 }
 
 base::TimePoint LeaseHolder::until(const ZoneRecord &Known,
@@ -32,7 +32,7 @@
                                    base::TimePoint Now) const {
   // Alone in its zone nobody may remove this host: who is admitted later waits
   // a lease's length from when this host said that it knows.
-  base::TimePoint Pledged = Now + Terms_.shortened(Terms_.Length_);
+  base::TimePoint Pledged = Now + Terms_.shortened(Terms_.Ttl_);
   for (const Member &Each : Known.Members_) {
     if (Each.Host_ == Self)
       continue;
--- a/libs/fleet/LeaseHolder.h
+++ b/libs/fleet/LeaseHolder.h
@@ -3,7 +3,7 @@
 
 #include "base/Id.h"
 #include "base/Time.h"
-#include "fleet/LeaseTerms.h"
+#include "fleet/LeaseTiming.h"
 #include "fleet/Member.h"
 
 #include <cstdint>
@@ -19,10 +19,10 @@
 /// either. A host cannot tell that from being cut off from a store that works
 /// for others. It goes on past its lease only with a pledge from every other
 /// member of its zone, as only these may remove it: "I write no record without
-/// you until then". No clock, no I/O. \see LeaseGuard, ZoneKeeper
+/// you until then". No clock, no I/O. \see LeaseGuard, ZoneRecordPlanner
 class LeaseHolder {
 public:
-  explicit LeaseHolder(const LeaseTerms &Terms) : Terms_(Terms) {}
+  explicit LeaseHolder(const LeaseTiming &Terms) : Terms_(Terms) {}
 
   /// Begins a heartbeat. \returns its sequence, from 1.
   std::uint64_t beat(base::TimePoint Now);
@@ -50,7 +50,7 @@
     base::TimePoint At_;
   };
 
-  const LeaseTerms Terms_;
+  const LeaseTiming Terms_;
   std::uint64_t Last_ = 0;
   std::deque<Beat> Sent_;
   base::TimePoint Confirmed_;
--- a/libs/fleet/Member.h
+++ b/libs/fleet/Member.h
@@ -15,15 +15,15 @@
   base::HostId Host_;
   base::RegionId Region_;
   /// IP:PORT for peers and operators, and for callers.
-  std::string Peers_;
-  std::string Callers_;
+  std::string PeerAddress_;
+  std::string CallerAddress_;
   /// Drawn anew at each start of the process.
   std::uint64_t Incarnation_ = 0;
   /// The newest heartbeat that a record holds; its lease counts from the moment
   /// at which the host sent it.
   std::uint64_t Sequence_ = 0;
   /// The record's generation at which this host was admitted.
-  std::uint64_t Admitted_ = 0;
+  std::uint64_t AdmissionGeneration_ = 0;
   /// The newest generation that the host is known to know.
   std::uint64_t KnownGeneration_ = 0;
   /// It finishes what it has and takes nothing new.
--- a/libs/fleet/SettingsSpread.cpp
+++ b/libs/fleet/SettingsSpread.cpp
@@ -206,8 +206,8 @@
           .add("version", Tree.Version_)
           .add("from", From)
           .text());
-  if (Listeners_.SettingsInForce_)
-    Listeners_.SettingsInForce_(Tree);
+  if (Listeners_.SettingsApplied_)
+    Listeners_.SettingsApplied_(Tree);
   for (const std::string &Peer : hinted())
     asio::co_spawn(Strand_, hint(Peer), asio::detached);
 }
@@ -217,13 +217,13 @@
   // In a large zone the hosts that talk to the store tell all; the others
   // have it from them.
   for (const Member &Each : State_.zonePeers())
-    Found.insert(Each.Peers_);
+    Found.insert(Each.PeerAddress_);
   std::vector<std::string> Others;
   const ZoneRecord Own = State_.record();
   for (const auto &[Zone, Each] : State_.directory().Zones_)
     for (const Member &Listed : Each.Members_)
       if (Zone != Own.Zone_)
-        Others.push_back(Listed.Peers_);
+        Others.push_back(Listed.PeerAddress_);
   for (std::size_t Count = 0; Count < OtherZoneHints && !Others.empty();
        ++Count)
     Found.insert(Others[base::drawBelow(
--- a/libs/fleet/ZoneKeeper.cpp
+++ b/libs/fleet/ZoneRecordPlanner.cpp
@@ -1,4 +1,4 @@
-#include "fleet/ZoneKeeper.h"
+#include "fleet/ZoneRecordPlanner.h"
 
 #include <algorithm>
 
@@ -31,13 +31,14 @@
 
 } // namespace
 
-ZoneKeeper::ZoneKeeper(const LeaseTerms &Terms, base::ZoneId Zone, Member Self,
-                       base::TimePoint Now)
+ZoneRecordPlanner::ZoneRecordPlanner(const LeaseTiming &Terms,
+                                     base::ZoneId Zone, Member Self,
+                                     base::TimePoint Now)
     : Terms_(Terms), Zone_(std::move(Zone)), Self_(std::move(Self)),
       Started_(Now), ChangedAt_(Now) {}
 
-void ZoneKeeper::observe(const ZoneRecord &Seen, std::uint64_t Version,
-                         base::TimePoint Now) {
+void ZoneRecordPlanner::observe(const ZoneRecord &Seen, std::uint64_t Version,
+                                base::TimePoint Now) {
   if (Version <= Version_)
     return;
   for (const Member &Each : Seen.Members_) {
@@ -64,7 +65,7 @@
   });
 }
 
-void ZoneKeeper::hear(const Member &From, base::TimePoint Now) {
+void ZoneRecordPlanner::hear(const Member &From, base::TimePoint Now) {
   if (From.Host_ == Self_.Host_) {
     Self_.Sequence_ = std::max(Self_.Sequence_, From.Sequence_);
     Self_.KnownGeneration_ = Record_.Generation_;
@@ -76,17 +77,17 @@
     Known = {From, Now};
 }
 
-void ZoneKeeper::leave(const base::HostId &Host) {
+void ZoneRecordPlanner::leave(const base::HostId &Host) {
   Gone_.insert(Host);
   Heard_.erase(Host);
 }
 
-void ZoneKeeper::platformGone(const base::HostId &Host) {
+void ZoneRecordPlanner::platformGone(const base::HostId &Host) {
   if (Host != Self_.Host_ && Record_.find(Host))
     leave(Host);
 }
 
-bool ZoneKeeper::pledge(const base::HostId &Host, base::TimePoint Now) {
+bool ZoneRecordPlanner::pledge(const base::HostId &Host, base::TimePoint Now) {
   // Before its restart this host may have begun a write that is still on its
   // way; a record that holds the new incarnation has outrun every such write.
   const Member *Own = Record_.find(Self_.Host_);
@@ -95,24 +96,25 @@
   if (!Record_.find(Host) || Removing_.contains(Host))
     return false;
   base::TimePoint &Until = PledgedUntil_[Host];
-  Until = std::max(Until, Now + Terms_.lengthened(Terms_.Length_));
+  Until = std::max(Until, Now + Terms_.lengthened(Terms_.Ttl_));
   return true;
 }
 
-bool ZoneKeeper::silenceIsProof(const Member &Listed,
-                                base::TimePoint Now) const {
+bool ZoneRecordPlanner::silenceIsProof(const Member &Listed,
+                                       base::TimePoint Now) const {
   const Member *Own = Record_.find(Self_.Host_);
-  if (!Own || Listed.KnownGeneration_ < Own->Admitted_)
+  if (!Own || Listed.KnownGeneration_ < Own->AdmissionGeneration_)
     return false;
   const auto Renewed = RenewedAt_.find(Listed.Host_);
   if (Renewed == RenewedAt_.end() ||
-      Now - Renewed->second < Terms_.lengthened(Terms_.Length_))
+      Now - Renewed->second < Terms_.lengthened(Terms_.Ttl_))
     return false;
   const auto Pledged = PledgedUntil_.find(Listed.Host_);
   return Pledged == PledgedUntil_.end() || Now >= Pledged->second;
 }
 
-bool ZoneKeeper::mustGo(const Member &Listed, base::TimePoint Now) const {
+bool ZoneRecordPlanner::mustGo(const Member &Listed,
+                               base::TimePoint Now) const {
   if (Listed.Host_ == Self_.Host_)
     return false;
   if (Gone_.contains(Listed.Host_))
@@ -123,28 +125,28 @@
   return silenceIsProof(Listed, Now);
 }
 
-bool ZoneKeeper::heardSince(const Member &Listed) const {
+bool ZoneRecordPlanner::heardSince(const Member &Listed) const {
   const auto Found = Heard_.find(Listed.Host_);
   return Found != Heard_.end() && isOlder(Listed, Found->second.Member_);
 }
 
-bool ZoneKeeper::leaseIsOver(const base::HostId &Host,
-                             base::TimePoint Now) const {
+bool ZoneRecordPlanner::leaseIsOver(const base::HostId &Host,
+                                    base::TimePoint Now) const {
   const Member *Listed = Record_.find(Host);
   return !Listed || mustGo(*Listed, Now);
 }
 
-std::vector<Member> ZoneKeeper::admitted(base::TimePoint Now) const {
+std::vector<Member> ZoneRecordPlanner::admitted(base::TimePoint Now) const {
   std::vector<Member> New;
   for (const auto &[Host, Known] : Heard_)
-    if (!Record_.find(Host) && Now - Known.At_ < Terms_.SuspectAfter_)
+    if (!Record_.find(Host) && Now - Known.At_ < Terms_.RelayTimeout_)
       New.push_back(Known.Member_);
   if (!Record_.find(Self_.Host_))
     New.push_back(Self_);
   return New;
 }
 
-ZoneRecord ZoneKeeper::renewed(base::TimePoint Now) const {
+ZoneRecord ZoneRecordPlanner::renewed(base::TimePoint Now) const {
   ZoneRecord Next;
   Next.Zone_ = Zone_;
   Next.Relay_ = Record_.Relay_;
@@ -158,7 +160,8 @@
     else if (heardSince(Listed))
       Kept = Heard_.at(Listed.Host_).Member_;
     const bool Restarted = Kept.Incarnation_ != Listed.Incarnation_;
-    Kept.Admitted_ = Restarted ? Record_.Generation_ + 1 : Listed.Admitted_;
+    Kept.AdmissionGeneration_ =
+        Restarted ? Record_.Generation_ + 1 : Listed.AdmissionGeneration_;
     if (!Restarted) {
       Kept.Sequence_ = std::max(Kept.Sequence_, Listed.Sequence_);
       Kept.KnownGeneration_ =
@@ -167,7 +170,7 @@
     Next.Members_.push_back(std::move(Kept));
   }
   for (Member &New : admitted(Now)) {
-    New.Admitted_ = Record_.Generation_ + 1;
+    New.AdmissionGeneration_ = Record_.Generation_ + 1;
     Next.Members_.push_back(std::move(New));
   }
   std::sort(Next.Members_.begin(), Next.Members_.end(), byHost);
@@ -177,9 +180,9 @@
 }
 
 std::optional<RecordPlan>
-ZoneKeeper::planAsStranger(base::TimePoint Now) const {
+ZoneRecordPlanner::planAsStranger(base::TimePoint Now) const {
   // A relay that is there admits this host sooner than this.
-  const bool Waited = Now - Started_ >= 2 * Terms_.RenewEvery_;
+  const bool Waited = Now - Started_ >= 2 * Terms_.RenewalInterval_;
   if (!Record_.Members_.empty() && !Waited)
     return std::nullopt;
   RecordPlan Plan{renewed(Now), Version_, "join"};
@@ -188,7 +191,7 @@
   return Plan;
 }
 
-base::Duration ZoneKeeper::takeoverWait() const {
+base::Duration ZoneRecordPlanner::takeoverWait() const {
   // The standby goes first, each further member a renewal later, so that they
   // do not all write at once; the store's version decides between any two.
   int Rank = 0;
@@ -198,14 +201,14 @@
     if (Each.Host_ != Record_.Relay_)
       ++Rank;
   }
-  return Terms_.SuspectAfter_ + Rank * Terms_.RenewEvery_;
+  return Terms_.RelayTimeout_ + Rank * Terms_.RenewalInterval_;
 }
 
-bool ZoneKeeper::isStandby() const {
-  return isMember() && !isRelay() && takeoverWait() == Terms_.SuspectAfter_;
+bool ZoneRecordPlanner::isStandby() const {
+  return isMember() && !isRelay() && takeoverWait() == Terms_.RelayTimeout_;
 }
 
-bool ZoneKeeper::acknowledges(const ZoneRecord &Next) const {
+bool ZoneRecordPlanner::acknowledges(const ZoneRecord &Next) const {
   for (const Member &Each : Next.Members_) {
     const Member *Listed = Record_.find(Each.Host_);
     if (Listed && Listed->KnownGeneration_ < Record_.Generation_ &&
@@ -215,7 +218,7 @@
   return false;
 }
 
-std::optional<RecordPlan> ZoneKeeper::plan(base::TimePoint Now) const {
+std::optional<RecordPlan> ZoneRecordPlanner::plan(base::TimePoint Now) const {
   if (!isMember())
     return planAsStranger(Now);
   const base::Duration Quiet = Now - ChangedAt_;
@@ -231,12 +234,12 @@
     Plan.Reason_ = "change";
   else if (acknowledges(Plan.Next_))
     Plan.Reason_ = "acknowledge";
-  else if (Quiet < Terms_.RenewEvery_)
+  else if (Quiet < Terms_.RenewalInterval_)
     return std::nullopt;
   return Plan;
 }
 
-void ZoneKeeper::begin(const RecordPlan &Plan) {
+void ZoneRecordPlanner::begin(const RecordPlan &Plan) {
   for (const Member &Each : Record_.Members_)
     if (!Plan.Next_.find(Each.Host_))
       Removing_.insert(Each.Host_);
--- a/libs/fleet/ZoneKeeper.h
+++ b/libs/fleet/ZoneRecordPlanner.h
@@ -1,9 +1,9 @@
-#ifndef LYCHEE_FLEET_ZONEKEEPER_H
-#define LYCHEE_FLEET_ZONEKEEPER_H
+#ifndef LYCHEE_FLEET_ZONERECORDPLANNER_H
+#define LYCHEE_FLEET_ZONERECORDPLANNER_H
 
 #include "base/Id.h"
 #include "base/Time.h"
-#include "fleet/LeaseTerms.h"
+#include "fleet/LeaseTiming.h"
 #include "fleet/Member.h"
 
 #include <cstdint>
@@ -34,12 +34,12 @@
 /// no pledge to it may be open. What fails the middle condition, such as a
 /// fresh host that finds a record of silent strangers, waits for the platform's
 /// word. \see LeaseHolder, docs/design/membership.md
-class ZoneKeeper {
+class ZoneRecordPlanner {
 public:
   /// \param Self  this host, with zone and incarnation; sequence and
   /// generations are filled in here.
-  ZoneKeeper(const LeaseTerms &Terms, base::ZoneId Zone, Member Self,
-             base::TimePoint Now);
+  ZoneRecordPlanner(const LeaseTiming &Terms, base::ZoneId Zone, Member Self,
+                    base::TimePoint Now);
 
   /// The store's record was seen at \p Now, in an answer to a call begun before
   /// or from a peer. Older versions are ignored. \p Version 0: there is none.
@@ -96,7 +96,7 @@
   std::optional<RecordPlan> planAsStranger(base::TimePoint Now) const;
   base::Duration takeoverWait() const;
 
-  const LeaseTerms Terms_;
+  const LeaseTiming Terms_;
   const base::ZoneId Zone_;
   Member Self_;
   const base::TimePoint Started_;
--- a/tests/exchange/OfferBookTest.cpp
+++ b/tests/exchange/OfferBookTest.cpp
@@ -1,4 +1,4 @@
-#include "exchange/OfferBook.h"
+#include "exchange/SpareOfferTable.h"
 
 #include <array>
 
@@ -36,7 +36,7 @@
 
   void hear(const base::HostId &Peer, budget::Parts Rate, std::int64_t Tokens,
             base::TimePoint At = Now) {
-    Book_.heard(
+    Book_.update(
         Peer, std::array{budget::SpareOffer{"rate/parish", Rate, Tokens}}, At);
   }
 };
@@ -63,7 +63,7 @@
   hear(One, 1000, 10);
   CHECK(take(askFor(5, 0), Now + OfferBook::OfferLife + seconds(1)).empty());
   hear(Two, 1000, 10);
-  Book_.heard(Two, {}, Now);
+  Book_.update(Two, {}, Now);
   CHECK(take(askFor(5, 0)).empty());
 }
 
--- a/tests/fleet/FleetNodeTest.cpp
+++ b/tests/fleet/FleetNodeTest.cpp
@@ -103,7 +103,7 @@
   const std::uint64_t Written = Fleet_.store().counts()["put"];
   setDown(true);
   const auto Ending = lychee::base::SystemClock::monotonicNow() +
-                      2 * lychee::tests::shortTerms().Length_;
+                      2 * lychee::tests::shortTerms().Ttl_;
   CHECK(waitFor(
       [&] { return lychee::base::SystemClock::monotonicNow() > Ending; }));
   CHECK(Fleet_.waitForEach([](const TestHost &Each) {
--- a/tests/fleet/FleetStateTest.cpp
+++ b/tests/fleet/FleetStateTest.cpp
@@ -17,9 +17,9 @@
   Member Made;
   Made.Host_ = base::HostId(Name);
   Made.Region_ = base::RegionId("near");
-  Made.Peers_ = "127.0.0.1:1";
+  Made.PeerAddress_ = "127.0.0.1:1";
   Made.Incarnation_ = Incarnation;
-  Made.Admitted_ = Admitted;
+  Made.AdmissionGeneration_ = Admitted;
   return Made;
 }
 
@@ -35,7 +35,7 @@
 } // namespace
 
 TEST_GROUP(FleetState) {
-  FleetState State_{fleet::LeaseTerms(), base::ZoneId("near-1"),
+  FleetState State_{fleet::LeaseTiming(), base::ZoneId("near-1"),
                     member("self", 7, 0), Now};
 };
 
--- a/tests/fleet/MembershipPropertyTest.cpp
+++ b/tests/fleet/MembershipPropertyTest.cpp
@@ -1,7 +1,7 @@
 #include "base/Random.h"
 #include "fleet/LeaseGuard.h"
 #include "fleet/LeaseHolder.h"
-#include "fleet/ZoneKeeper.h"
+#include "fleet/ZoneRecordPlanner.h"
 
 #include <deque>
 #include <memory>
@@ -34,7 +34,7 @@
 /// it is paused.
 struct Host {
   std::unique_ptr<fleet::LeaseHolder> Holder_;
-  std::unique_ptr<fleet::ZoneKeeper> Keeper_;
+  std::unique_ptr<fleet::ZoneRecordPlanner> Keeper_;
   std::unique_ptr<fleet::LeaseGuard> Guard_;
   std::uint64_t Incarnation_ = 0;
   double Rate_ = 1;
@@ -94,7 +94,7 @@
     Started.Alive_ = true;
     Started.Holder_ = std::make_unique<fleet::LeaseHolder>(Terms_);
     Started.Guard_ = std::make_unique<fleet::LeaseGuard>();
-    Started.Keeper_ = std::make_unique<fleet::ZoneKeeper>(
+    Started.Keeper_ = std::make_unique<fleet::ZoneRecordPlanner>(
         Terms_, base::ZoneId("z"), memberOf(Index), clockOf(Started));
   }
 
@@ -216,14 +216,14 @@
       if (!Each.Alive_ || Now_ < Each.PausedUntil_)
         continue;
       const bool Acts =
-          Each.Guard_->check(clockOf(Each), 0) == fleet::LeaseState::Standing;
+          Each.Guard_->check(clockOf(Each), 0) == fleet::LeaseState::Valid;
       const bool Listed = Shelf_.Record_.find(nameOfHost(Index)) != nullptr;
       Standing_ += Acts ? 1 : 0;
       Violations_ += Acts && !Listed ? 1 : 0;
     }
   }
 
-  const fleet::LeaseTerms Terms_;
+  const fleet::LeaseTiming Terms_;
   base::Random Random_;
   base::TimePoint Now_{seconds(1000)};
   Host Hosts_[HostCount];
--- a/tests/fleet/TestFleet.h
+++ b/tests/fleet/TestFleet.h
@@ -18,13 +18,13 @@
 namespace lychee::tests {
 
 /// Leases a tenth as long as in service, so that a test sees them end.
-inline fleet::LeaseTerms shortTerms() {
-  fleet::LeaseTerms Terms;
-  Terms.Length_ = std::chrono::milliseconds(2000);
-  Terms.BeatEvery_ = std::chrono::milliseconds(100);
-  Terms.RenewEvery_ = std::chrono::milliseconds(200);
-  Terms.SuspectAfter_ = std::chrono::milliseconds(600);
-  Terms.PauseBound_ = std::chrono::milliseconds(200);
+inline fleet::LeaseTiming shortTerms() {
+  fleet::LeaseTiming Terms;
+  Terms.Ttl_ = std::chrono::milliseconds(2000);
+  Terms.HeartbeatInterval_ = std::chrono::milliseconds(100);
+  Terms.RenewalInterval_ = std::chrono::milliseconds(200);
+  Terms.RelayTimeout_ = std::chrono::milliseconds(600);
+  Terms.MaxPause_ = std::chrono::milliseconds(200);
   return Terms;
 }
 
@@ -45,12 +45,12 @@
     fleet::FleetNodeOptions Options;
     Options.Zone_ = base::ZoneId(Zone);
     Options.Self_.Host_ = base::HostId(Name);
-    Options.Self_.Peers_ = Peer_;
+    Options.Self_.PeerAddress_ = Peer_;
     Options.Self_.Incarnation_ = static_cast<std::uint64_t>(
         base::SystemClock::wallNow().time_since_epoch().count());
-    Options.Seeds_ = std::move(Seeds);
-    Options.Terms_ = shortTerms();
-    Options.Seed_ = base::stableHash(Name);
+    Options.SeedPeers_ = std::move(Seeds);
+    Options.LeaseTiming_ = shortTerms();
+    Options.RandomSeed_ = base::stableHash(Name);
     Node_ = std::make_unique<fleet::FleetNode>(Io.context(), Store_, Client_,
                                                Handlers_, std::move(Options),
                                                fleet::FleetListeners{});
@@ -65,9 +65,9 @@
   }
 
   bool mayAct() const {
-    return Node_->guard().check(base::SystemClock::monotonicNow(),
-                                Node_->guard().epoch()) ==
-           fleet::LeaseState::Standing;
+    return Node_->leaseGuard().check(base::SystemClock::monotonicNow(),
+                                     Node_->leaseGuard().epoch()) ==
+           fleet::LeaseState::Valid;
   }
 
   /// \returns true where the settings are known fresh within \p Bound.
@@ -148,7 +148,8 @@
     const store::PutResult Result = Io_.run(
         By.Store_.put(settings::SettingsRoot::Path, Text, Version - 1, Last));
     if (Result.Status_ == store::PutStatus::Written)
-      By.Node_->wroteSettings(Result.Version_, Text, {{Hash, Document}});
+      By.Node_->notifySettingsWritten(Result.Version_, Text,
+                                      {{Hash, Document}});
     return Result;
   }
 
--- a/tests/fleet/ZoneKeeperTest.cpp
+++ b/tests/fleet/ZoneKeeperTest.cpp
@@ -1,6 +1,6 @@
-#include "fleet/ZoneKeeper.h"
 #include "fleet/LeaseGuard.h"
 #include "fleet/LeaseHolder.h"
+#include "fleet/ZoneRecordPlanner.h"
 
 #include "CppUTest/TestHarness.h"
 
@@ -10,7 +10,7 @@
 using std::chrono::seconds;
 
 TEST_GROUP(ZoneKeeper) {
-  const fleet::LeaseTerms Terms_;
+  const fleet::LeaseTiming Terms_;
   base::TimePoint Now_{seconds(1000)};
   std::uint64_t Version_ = 0;
 
@@ -23,12 +23,12 @@
     return Made;
   }
 
-  fleet::ZoneKeeper keeper(const char *Name) const {
+  fleet::ZoneRecordPlanner keeper(const char *Name) const {
     return {Terms_, base::ZoneId("z1"), member(Name), Now_};
   }
 
   /// Writes what \p Keeper plans. \returns the plan's reason; none for no plan.
-  std::string_view write(fleet::ZoneKeeper & Keeper) {
+  std::string_view write(fleet::ZoneRecordPlanner & Keeper) {
     const auto Plan = Keeper.plan(Now_);
     if (!Plan)
       return "none";
@@ -39,8 +39,8 @@
   }
 
   /// A keeper for h1, relay of h1 and h2.
-  fleet::ZoneKeeper relayOfTwo() {
-    fleet::ZoneKeeper Relay = keeper("h1");
+  fleet::ZoneRecordPlanner relayOfTwo() {
+    fleet::ZoneRecordPlanner Relay = keeper("h1");
     write(Relay);
     Relay.hear(member("h2"), Now_);
     write(Relay);
@@ -49,22 +49,22 @@
 };
 
 TEST(ZoneKeeper, firstHostOfAZoneMakesItsRecordAndAdmitsTheNext) {
-  fleet::ZoneKeeper Relay = keeper("h1");
+  fleet::ZoneRecordPlanner Relay = keeper("h1");
   STRCMP_EQUAL("join", std::string(write(Relay)).c_str());
   CHECK(Relay.isRelay());
   STRCMP_EQUAL("none", std::string(write(Relay)).c_str());
   Relay.hear(member("h2"), Now_);
   STRCMP_EQUAL("change", std::string(write(Relay)).c_str());
   UNSIGNED_LONGS_EQUAL(2, Relay.record().Members_.size());
-  UNSIGNED_LONGLONGS_EQUAL(2, Relay.record().Members_[1].Admitted_);
+  UNSIGNED_LONGLONGS_EQUAL(2, Relay.record().Members_[1].AdmissionGeneration_);
 }
 
 TEST(ZoneKeeper, renewalsCarryHeardSequencesAndKeepTheGeneration) {
-  fleet::ZoneKeeper Relay = relayOfTwo();
+  fleet::ZoneRecordPlanner Relay = relayOfTwo();
   const std::uint64_t Generation = Relay.record().Generation_;
   Relay.hear(member("h2", 9), Now_);
   STRCMP_EQUAL("none", std::string(write(Relay)).c_str());
-  Now_ += Terms_.RenewEvery_;
+  Now_ += Terms_.RenewalInterval_;
   STRCMP_EQUAL("renew", std::string(write(Relay)).c_str());
   UNSIGNED_LONGLONGS_EQUAL(9, Relay.record().Members_[1].Sequence_);
   UNSIGNED_LONGLONGS_EQUAL(Generation, Relay.record().Generation_);
@@ -73,9 +73,9 @@
 // A host dies without a word. Its lease may be in use up to its length by the
 // slowest clock: the relay keeps it until then, and removes it right after.
 TEST(ZoneKeeper, silentHostIsRemovedOnlyAfterItsLease) {
-  fleet::ZoneKeeper Relay = relayOfTwo();
+  fleet::ZoneRecordPlanner Relay = relayOfTwo();
   const base::TimePoint Renewed = Now_;
-  while (Now_ - Renewed < Terms_.lengthened(Terms_.Length_)) {
+  while (Now_ - Renewed < Terms_.lengthened(Terms_.Ttl_)) {
     write(Relay);
     CHECK(Relay.record().find(base::HostId("h2")) != nullptr);
     Now_ += milliseconds(500);
@@ -83,7 +83,7 @@
   write(Relay);
   CHECK(Relay.record().find(base::HostId("h2")) == nullptr);
   // What was heard of it before does not bring it back.
-  Now_ += Terms_.RenewEvery_;
+  Now_ += Terms_.RenewalInterval_;
   write(Relay);
   UNSIGNED_LONGS_EQUAL(1, Relay.record().Members_.size());
 }
@@ -92,7 +92,7 @@
 // only if the record says that the dead one knew of it, so a member's word that
 // it knows is written at once, not with the next renewal.
 TEST(ZoneKeeper, wordThatAMemberKnowsANewcomerIsWrittenAtOnce) {
-  fleet::ZoneKeeper Relay = keeper("h1");
+  fleet::ZoneRecordPlanner Relay = keeper("h1");
   write(Relay);
   fleet::Member Fresh = member("h2");
   Fresh.KnownGeneration_ = 0;
@@ -107,7 +107,7 @@
 }
 
 TEST(ZoneKeeper, hostThatSaysGoodbyeIsRemovedAtOnce) {
-  fleet::ZoneKeeper Relay = relayOfTwo();
+  fleet::ZoneRecordPlanner Relay = relayOfTwo();
   Relay.leave(base::HostId("h2"));
   STRCMP_EQUAL("change", std::string(write(Relay)).c_str());
   UNSIGNED_LONGS_EQUAL(1, Relay.record().Members_.size());
@@ -116,25 +116,25 @@
 // The relay dies. Nobody renews the zone's leases until the standby has seen no
 // renewal for a while and makes itself the relay, well within a lease's length.
 TEST(ZoneKeeper, standbyTakesOverFromASilentRelayBeforeLeasesEnd) {
-  const fleet::ZoneKeeper Relay = relayOfTwo();
-  fleet::ZoneKeeper Standby = keeper("h2");
+  const fleet::ZoneRecordPlanner Relay = relayOfTwo();
+  fleet::ZoneRecordPlanner Standby = keeper("h2");
   Standby.observe(Relay.record(), Relay.version(), Now_);
   CHECK(Standby.isStandby());
   STRCMP_EQUAL("none", std::string(write(Standby)).c_str());
-  Now_ += Terms_.SuspectAfter_;
+  Now_ += Terms_.RelayTimeout_;
   STRCMP_EQUAL("takeover", std::string(write(Standby)).c_str());
   CHECK(Standby.isRelay());
   CHECK(Standby.record().find(base::HostId("h1")) != nullptr);
-  CHECK(Terms_.SuspectAfter_ + 2 * Terms_.RenewEvery_ < Terms_.Length_);
+  CHECK(Terms_.RelayTimeout_ + 2 * Terms_.RenewalInterval_ < Terms_.Ttl_);
 }
 
 // A relay is paused and wakes up after another has taken over: its write names
 // the version it knew, so the store refuses it, and it sees who is relay now.
 TEST(ZoneKeeper, pausedRelayIsFencedByTheVersion) {
-  fleet::ZoneKeeper Paused = relayOfTwo();
-  fleet::ZoneKeeper Standby = keeper("h2");
+  fleet::ZoneRecordPlanner Paused = relayOfTwo();
+  fleet::ZoneRecordPlanner Standby = keeper("h2");
   Standby.observe(Paused.record(), Paused.version(), Now_);
-  Now_ += Terms_.SuspectAfter_;
+  Now_ += Terms_.RelayTimeout_;
   const auto Late = Paused.plan(Now_);
   write(Standby);
   CHECK(Late.has_value());
@@ -147,13 +147,13 @@
 // off from it and from the store, and hold pledges from one another: it joins,
 // but removes them only on the platform's word.
 TEST(ZoneKeeper, strangersSilenceIsNoProofButThePlatformsWordIs) {
-  fleet::ZoneKeeper Old = keeper("h1");
+  fleet::ZoneRecordPlanner Old = keeper("h1");
   write(Old);
-  fleet::ZoneKeeper Fresh = keeper("h9");
+  fleet::ZoneRecordPlanner Fresh = keeper("h9");
   fleet::ZoneRecord Seen = Old.record();
   Seen.Members_[0].KnownGeneration_ = 1;
   Fresh.observe(Seen, Version_, Now_);
-  Now_ += 2 * Terms_.RenewEvery_;
+  Now_ += 2 * Terms_.RenewalInterval_;
   STRCMP_EQUAL("join", std::string(write(Fresh)).c_str());
   Now_ += std::chrono::hours(1);
   STRCMP_EQUAL("takeover", std::string(write(Fresh)).c_str());
@@ -175,11 +175,11 @@
   Guard_.enter(3);
   Guard_.extend(Now_ + seconds(15), Now_);
   const std::uint64_t Tenure = Guard_.tenure();
-  CHECK(Guard_.check(Now_, 3) == fleet::LeaseState::Standing);
+  CHECK(Guard_.check(Now_, 3) == fleet::LeaseState::Valid);
   Now_ += seconds(60);
-  CHECK(Guard_.check(Now_, 3) == fleet::LeaseState::Lapsed);
+  CHECK(Guard_.check(Now_, 3) == fleet::LeaseState::Expired);
   Guard_.extend(Now_ + seconds(15), Now_);
-  CHECK(Guard_.check(Now_, 3) == fleet::LeaseState::Standing);
+  CHECK(Guard_.check(Now_, 3) == fleet::LeaseState::Valid);
   CHECK(Guard_.tenure() != Tenure);
 }
 
@@ -187,13 +187,13 @@
   Guard_.enter(3);
   Guard_.extend(Now_ + seconds(15), Now_);
   Guard_.enter(2);
-  CHECK(Guard_.check(Now_, 3) == fleet::LeaseState::Standing);
+  CHECK(Guard_.check(Now_, 3) == fleet::LeaseState::Valid);
   CHECK(Guard_.check(Now_, 2) == fleet::LeaseState::OtherEpoch);
   Guard_.drop();
-  CHECK(Guard_.check(Now_, 3) == fleet::LeaseState::Lapsed);
+  CHECK(Guard_.check(Now_, 3) == fleet::LeaseState::Expired);
 }
 
 TEST(LeaseGuard, extensionThatIsOverAlreadyGivesNothing) {
   Guard_.extend(Now_ - seconds(1), Now_);
-  CHECK(Guard_.check(Now_, 0) == fleet::LeaseState::Lapsed);
+  CHECK(Guard_.check(Now_, 0) == fleet::LeaseState::Expired);
 }
--- a/tests/process/DaemonFleetTest.cpp
+++ b/tests/process/DaemonFleetTest.cpp
@@ -93,7 +93,7 @@
 
   /// \returns true where the zone's record says that all its members know the
   /// newest of them; a host that dies earlier may have to wait for the
-  /// platform's word. \see fleet::ZoneKeeper
+  /// platform's word. \see fleet::ZoneRecordPlanner
   bool membersKnowEachOther(const std::string &Zone) const {
     const CallerAnswer Answer =
         get(Fleet_.storeAddress(), "/objects/fleet/zones/" + Zone);
--- a/tests/process/host/Main.cpp
+++ b/tests/process/host/Main.cpp
@@ -38,17 +38,17 @@
   std::cout << Line.text() << std::endl;
 }
 
-fleet::LeaseTerms terms() {
-  fleet::LeaseTerms Made;
+fleet::LeaseTiming terms() {
+  fleet::LeaseTiming Made;
   const double Part = FLAGS_lease_ms / 15000.0;
   const auto Scaled = [Part](base::Duration Span) {
     return base::fromSeconds(base::toSeconds(Span) * Part);
   };
-  Made.Length_ = Scaled(Made.Length_);
-  Made.BeatEvery_ = Scaled(Made.BeatEvery_);
-  Made.RenewEvery_ = Scaled(Made.RenewEvery_);
-  Made.SuspectAfter_ = Scaled(Made.SuspectAfter_);
-  Made.PauseBound_ = Scaled(Made.PauseBound_);
+  Made.Ttl_ = Scaled(Made.Ttl_);
+  Made.HeartbeatInterval_ = Scaled(Made.HeartbeatInterval_);
+  Made.RenewalInterval_ = Scaled(Made.RenewalInterval_);
+  Made.RelayTimeout_ = Scaled(Made.RelayTimeout_);
+  Made.MaxPause_ = Scaled(Made.MaxPause_);
   return Made;
 }
 
@@ -62,7 +62,7 @@
 
 fleet::FleetListeners listeners() {
   fleet::FleetListeners Made;
-  Made.SettingsInForce_ = [](const lychee::settings::SettingsTree &Tree) {
+  Made.SettingsApplied_ = [](const lychee::settings::SettingsTree &Tree) {
     say(base::KeyValueLine()
             .add("event", "in_force")
             .add("version", Tree.Version_)
@@ -85,18 +85,18 @@
   asio::steady_timer Timer(co_await asio::this_coro::executor);
   std::string Before;
   while (true) {
-    const auto State = Node.guard().check(base::SystemClock::monotonicNow(),
-                                          Node.guard().epoch());
+    const auto State = Node.leaseGuard().check(
+        base::SystemClock::monotonicNow(), Node.leaseGuard().epoch());
     const std::string Name(fleet::nameOf(State));
     if (Name != Before)
       say(base::KeyValueLine()
               .add("event", "lease")
               .add("state", Name)
-              .add("tenure", Node.guard().tenure()));
-    else if (State == fleet::LeaseState::Standing)
+              .add("tenure", Node.leaseGuard().tenure()));
+    else if (State == fleet::LeaseState::Valid)
       say(base::KeyValueLine()
               .add("event", "act")
-              .add("tenure", Node.guard().tenure()));
+              .add("tenure", Node.leaseGuard().tenure()));
     Before = Name;
     Timer.expires_after(std::chrono::milliseconds(100));
     co_await Timer.async_wait(asio::as_tuple(asio::use_awaitable));
@@ -133,12 +133,12 @@
   fleet::FleetNodeOptions Options;
   Options.Zone_ = base::ZoneId(FLAGS_zone);
   Options.Self_.Host_ = base::HostId(FLAGS_name);
-  Options.Self_.Peers_ = FLAGS_address + ":" + std::to_string(FLAGS_port);
+  Options.Self_.PeerAddress_ = FLAGS_address + ":" + std::to_string(FLAGS_port);
   Options.Self_.Incarnation_ = static_cast<std::uint64_t>(
       base::SystemClock::wallNow().time_since_epoch().count());
-  Options.Seeds_ = seeds();
-  Options.Terms_ = terms();
-  Options.Seed_ = Seed;
+  Options.SeedPeers_ = seeds();
+  Options.LeaseTiming_ = terms();
+  Options.RandomSeed_ = Seed;
   fleet::FleetNode Node(Context, Guarded, Client, Handlers, std::move(Options),
                         listeners());
   base::Error Last;
