--- a/apps/lycheed/ClaimDesk.cpp
+++ b/apps/lycheed/ClaimDesk.cpp
@@ -18,9 +18,9 @@
   return retrying::ClaimKey::of(Request.Customer_, Request.IdempotencyKey_);
 }
 
-gateway::ClaimAnswer answerOf(const retrying::ClaimVerdict &Verdict) {
+gateway::ClaimAnswer answerOf(const retrying::ClaimResult &Verdict) {
   gateway::ClaimAnswer Made;
-  switch (Verdict.Answer_) {
+  switch (Verdict.Outcome_) {
   case ClaimAnswer::Granted:
     Made.Kind_ = Kind::Granted;
     return Made;
@@ -29,14 +29,14 @@
     Made.Status_ = Verdict.Status_;
     return Made;
   case ClaimAnswer::MayHaveRun:
-  case ClaimAnswer::OtherRequest:
+  case ClaimAnswer::KeyReused:
     Made.Kind_ = Kind::HeldElsewhere;
     Made.RetryAfter_ = HeldRetryAfter;
     return Made;
   case ClaimAnswer::Pending:
   case ClaimAnswer::Full:
   case ClaimAnswer::NotOwner:
-  case ClaimAnswer::StoreDown:
+  case ClaimAnswer::StoreUnavailable:
     Made.RetryAfter_ = NoOwnerRetryAfter;
     return Made;
   }
@@ -59,11 +59,10 @@
 
 void ClaimDesk::acquire(const gateway::ClaimRequest &Asked,
                         base::TimePoint /*Now*/, Answered Done) {
-  Claims_.claim(
-      keyOf(Asked), Asked.Fingerprint_,
-      [Told = std::move(Done)](const retrying::ClaimVerdict &Verdict) {
-        Told(answerOf(Verdict));
-      });
+  Claims_.claim(keyOf(Asked), Asked.Fingerprint_,
+                [Told = std::move(Done)](const retrying::ClaimResult &Verdict) {
+                  Told(answerOf(Verdict));
+                });
 }
 
 void ClaimDesk::settle(const gateway::ClaimRequest &Granted,
--- a/apps/lycheed/Daemon.cpp
+++ b/apps/lycheed/Daemon.cpp
@@ -187,7 +187,7 @@
 void Daemon::takeDirectory(const fleet::Directory &Changed) {
   Directory_.setHosts(hostEntries(Changed));
   Exchange_.directoryChanged(Changed, SystemClock::monotonicNow());
-  ClaimService_.membersChanged(Changed.Epoch_, claimMembers(Changed));
+  ClaimService_.updateMembers(Changed.Epoch_, claimMembers(Changed));
   const fleet::Member *Self = Changed.find(Settings_.Host_);
   const std::uint64_t First = Admission_;
   const bool IsMember = Self != nullptr && Self->Incarnation_ == Incarnation_ &&
--- a/apps/lycheed/Daemon.h
+++ b/apps/lycheed/Daemon.h
@@ -77,7 +77,7 @@
   store::HttpStore HttpStore_;
   store::GuardedStore Store_;
 
-  budget::BudgetBook Rates_;
+  budget::RateBudgets Rates_;
   steering::FleetSteering Steering_;
   KeyCheck Keys_;
   IntentRouter Router_;
--- a/apps/lycheed/DaemonParts.cpp
+++ b/apps/lycheed/DaemonParts.cpp
@@ -31,7 +31,7 @@
 
 steering::SteeringSettings
 steeringSettings(const settings::DaemonSettings &Settings,
-                 std::uint64_t Incarnation, budget::BudgetBook &Rates) {
+                 std::uint64_t Incarnation, budget::RateBudgets &Rates) {
   steering::SteeringSettings Made;
   Made.Host_ =
       exchange::ExchangeNode::incarnationId(Settings.Host_, Incarnation);
--- a/apps/lycheed/DaemonParts.h
+++ b/apps/lycheed/DaemonParts.h
@@ -1,7 +1,7 @@
 #ifndef LYCHEE_APPS_LYCHEED_DAEMONPARTS_H
 #define LYCHEE_APPS_LYCHEED_DAEMONPARTS_H
 
-#include "budget/BudgetBook.h"
+#include "budget/RateBudgets.h"
 #include "claims/ClaimService.h"
 #include "fleet/Directory.h"
 #include "gateway/HostDirectory.h"
@@ -30,7 +30,7 @@
 
 steering::SteeringSettings
 steeringSettings(const settings::DaemonSettings &Settings,
-                 std::uint64_t Incarnation, budget::BudgetBook &Rates);
+                 std::uint64_t Incarnation, budget::RateBudgets &Rates);
 
 transport::HttpServerOptions optionsFor(const settings::Endpoint &Where);
 
--- a/apps/lycheed/DecisionReporter.cpp
+++ b/apps/lycheed/DecisionReporter.cpp
@@ -81,7 +81,7 @@
                                  const steering::SendReport &Report,
                                  base::TimePoint /*Now*/) {
   TargetSeconds_.observe(base::toSeconds(Report.Took_));
-  const bool Answered = Report.End_ == steering::SendEnd::Answered;
+  const bool Answered = Report.End_ == steering::SendOutcome::Answered;
   (Answered ? Answers_ : Failures_).add();
   reporting::DecisionRecord Record = recordOf(Request);
   Record.Event_ = Answered ? "answered" : "send-failed";
--- a/bench/capacity/Main.cpp
+++ b/bench/capacity/Main.cpp
@@ -1,5 +1,5 @@
 #include "base/SystemClock.h"
-#include "budget/BudgetBook.h"
+#include "budget/RateBudgets.h"
 #include "retrying/ClaimTable.h"
 #include "settings/ClientTable.h"
 #include "steering/FleetSteering.h"
@@ -119,7 +119,7 @@
   for (std::uint32_t Run = 0; Run < FLAGS_runs; ++Run) {
     const base::TimePoint Now = SystemClock::monotonicNow();
     const double Before = heapBytes();
-    auto Book = std::make_unique<budget::BudgetBook>(base::HostId("host"));
+    auto Book = std::make_unique<budget::RateBudgets>(base::HostId("host"));
     Book->enterEpoch({1, 10, Now + std::chrono::hours(1)}, Now);
     Book->settle(1, Now);
     for (std::size_t Index = 0; Index < Count; ++Index)
--- a/bench/decisions/AdmissionTrial.cpp
+++ b/bench/decisions/AdmissionTrial.cpp
@@ -85,8 +85,8 @@
       : Pattern_(Offered), Discipline_(Used), Random_(Seed),
         Control_(limitsOf(Used)) {
     for (int Each = 0; Each < Customers; ++Each)
-      Index_.push_back(
-          Control_.enrol(base::CustomerId("c" + std::to_string(Each)), 1));
+      Index_.push_back(Control_.registerCustomer(
+          base::CustomerId("c" + std::to_string(Each)), 1));
   }
 
   void play() {
@@ -116,8 +116,8 @@
 
   static AdmissionControl::Limits limitsOf(const Discipline &Used) {
     AdmissionControl::Limits Set;
-    Set.PressureMemory_ = Used.PressureMemory_;
-    Set.ShortWait_ = Used.ShortWait_;
+    Set.SaturationWindow_ = Used.PressureMemory_;
+    Set.SaturatedMaxWait_ = Used.ShortWait_;
     Set.NewestFirst_ = Used.NewestFirst_;
     Set.ExpectedWork_ = MeanWork;
     return Set;
@@ -160,18 +160,18 @@
     if (Discipline_.Order_ == Order::PlainFifo)
       return arrivePlain(Ticket, New, Now);
 
-    admission::Arrival Asks;
+    admission::AdmissionRequest Asks;
     Asks.Ticket_ = Ticket;
     Asks.Customer_ = Index_[static_cast<std::size_t>(Customer)];
     Asks.Caller_ = New.Caller_;
     Asks.Deadline_ = Now + Deadline;
-    Asks.Room_ = Running_ < Slots;
-    const AdmissionVerdict Verdict = Control_.arrive(Asks, Now);
+    Asks.HasCapacity_ = Running_ < Slots;
+    const AdmissionVerdict Verdict = Control_.admit(Asks, Now);
     New.Expected_ = Verdict.ExpectedWork_;
     if (Verdict.Action_ == AdmissionVerdict::Action::Refuse)
       return refuse(New, Now);
     Jobs_.emplace(Ticket, New);
-    if (Verdict.Action_ == AdmissionVerdict::Action::Go)
+    if (Verdict.Action_ == AdmissionVerdict::Action::Admit)
       start(Ticket, Now);
   }
 
@@ -205,9 +205,10 @@
       Line_.pop_front();
       return start(Next, Now);
     }
-    Control_.finished(Index_[static_cast<std::size_t>(Done.Customer_)],
-                      Done.Caller_, Done.Expected_, Done.Work_, true, Now);
-    const auto Next = Control_.next(Now, Left_);
+    Control_.recordCompletion(Index_[static_cast<std::size_t>(Done.Customer_)],
+                              Done.Caller_, Done.Expected_, Done.Work_, true,
+                              Now);
+    const auto Next = Control_.dequeue(Now, Left_);
     giveUpLeft(Now);
     if (Next)
       start(Next->Ticket_, Now);
--- a/bench/decisions/Costs.cpp
+++ b/bench/decisions/Costs.cpp
@@ -4,7 +4,7 @@
 #include "base/SystemClock.h"
 #include "placement/TargetPool.h"
 #include "retrying/CrashSuspects.h"
-#include "retrying/SendVerdict.h"
+#include "retrying/RetryVerdict.h"
 #include "shifting/ShiftSet.h"
 
 #include <cstdio>
@@ -93,18 +93,18 @@
   std::vector<admission::CustomerIndex> Index;
   Index.reserve(static_cast<std::size_t>(Customers));
   for (int Each = 0; Each < Customers; ++Each)
-    Index.push_back(
-        Control.enrol(base::CustomerId("customer-" + std::to_string(Each)), 1));
+    Index.push_back(Control.registerCustomer(
+        base::CustomerId("customer-" + std::to_string(Each)), 1));
   base::Random Numbers(1);
-  std::vector<admission::GivenUp> Left;
+  std::vector<admission::DroppedRequest> Left;
   const auto Ask = [&](bool Room) {
-    admission::Arrival Asks;
+    admission::AdmissionRequest Asks;
     Asks.Customer_ =
         Index[base::drawBelow(Numbers, static_cast<std::uint32_t>(Customers))];
     Asks.Caller_ = base::drawBelow(Numbers, 100);
     Asks.Deadline_ = Now + 10s;
-    Asks.Room_ = Room;
-    return Control.arrive(Asks, Now);
+    Asks.HasCapacity_ = Room;
+    return Control.admit(Asks, Now);
   };
   for (int Each = 0; Each < 10; ++Each)
     Ask(true);
@@ -116,10 +116,11 @@
   measure(Name, 200000, [&] {
     Now += 10us;
     const auto Verdict = Ask(!Busy);
-    Control.finished(Index[0], 1, Verdict.ExpectedWork_, 20ms, true, Now);
+    Control.recordCompletion(Index[0], 1, Verdict.ExpectedWork_, 20ms, true,
+                             Now);
     if (!Busy)
       return;
-    const auto Next = Control.next(Now, Left);
+    const auto Next = Control.dequeue(Now, Left);
     Sink = Sink + (Next ? Next->Caller_ : 0);
   });
 }
@@ -136,7 +137,7 @@
   };
   measure("crash suspect: nothing known", 1000000, Check);
   for (std::uint64_t Each = 0; Each < 1000; ++Each)
-    Suspects.lost(Each * 7919, base::TargetId("t"), Now);
+    Suspects.recordTargetLoss(Each * 7919, base::TargetId("t"), Now);
   measure("crash suspect: 1,000 losses known", 1000000, Check);
 }
 
--- a/bench/shares/SharesPlay.cpp
+++ b/bench/shares/SharesPlay.cpp
@@ -37,7 +37,7 @@
   Owner_.setLimits(Total.MicroRequestsPerSecond_, Total.Burst_, Now_);
   for (std::size_t Host = 0; Host < HostCount; ++Host) {
     Names_.emplace_back("host-" + std::to_string(Host));
-    Books_.push_back(std::make_unique<budget::BudgetBook>(Names_.back()));
+    Books_.push_back(std::make_unique<budget::RateBudgets>(Names_.back()));
     Offers_.push_back(std::make_unique<exchange::SpareOfferTable>());
     Books_.back()->setTotal(Budget, Total, Now_);
     Books_.back()->enterEpoch({1, HostCount, Now_ + 2 * Length}, Now_);
@@ -141,7 +141,7 @@
             Offers_[To]->update(Names_[From], Told, Now_);
           });
     }
-    for (const budget::Ask &Asked : Books_[From]->asksDue(Now_)) {
+    for (const budget::ShareRequest &Asked : Books_[From]->dueRequests(Now_)) {
       for (const base::HostId &Donor :
            Offers_[From]->takeDonors(Asked, Now_, Random_))
         ask(From, Donor, Asked);
@@ -150,13 +150,13 @@
 }
 
 void SharesPlay::ask(std::size_t From, const base::HostId &Donor,
-                     const budget::Ask &Asked) {
+                     const budget::ShareRequest &Asked) {
   const auto Place = static_cast<std::size_t>(
       std::find(Names_.begin(), Names_.end(), Donor) - Names_.begin());
   post(delayBetween(From, Place), [this, From, Place, Asked] {
     if (!Alive_[Place])
       return;
-    const auto Given = Books_[Place]->give(Asked, Now_);
+    const auto Given = Books_[Place]->donate(Asked, Now_);
     if (Given)
       post(delayBetween(From, Place),
            [this, From, Given] { Books_[From]->accept(*Given, Now_); });
--- a/bench/shares/SharesPlay.h
+++ b/bench/shares/SharesPlay.h
@@ -3,7 +3,7 @@
 
 #include "base/Random.h"
 #include "base/Time.h"
-#include "budget/BudgetBook.h"
+#include "budget/RateBudgets.h"
 #include "exchange/SpareOfferTable.h"
 
 #include <cstdint>
@@ -61,7 +61,7 @@
   void settleWaiting();
   void exchange();
   void ask(std::size_t From, const base::HostId &Donor,
-           const budget::Ask &Asked);
+           const budget::ShareRequest &Asked);
   void askOwner(std::size_t Host, base::TimePoint Since);
   void letIn(base::TimePoint Since);
   void refuse();
@@ -71,7 +71,7 @@
   const Division How_;
   base::Random Random_;
   base::TimePoint Now_{std::chrono::seconds(100)};
-  std::vector<std::unique_ptr<budget::BudgetBook>> Books_;
+  std::vector<std::unique_ptr<budget::RateBudgets>> Books_;
   std::vector<std::unique_ptr<exchange::SpareOfferTable>> Offers_;
   std::vector<base::HostId> Names_;
   std::vector<bool> Alive_;
--- a/libs/admission/AdmissionControl.cpp
+++ b/libs/admission/AdmissionControl.cpp
@@ -8,36 +8,37 @@
 
 namespace {
 
-using Action = AdmissionVerdict::Action;
+using Action = AdmissionDecision::Action;
 
 } // namespace
 
-CustomerIndex AdmissionControl::enrol(const base::CustomerId &Customer,
-                                      std::uint32_t Weight) {
+CustomerIndex
+AdmissionControl::registerCustomer(const base::CustomerId &Customer,
+                                   std::uint32_t Weight) {
   const CustomerIndex Index = Queue_.enrol(Customer, Weight);
   if (Index >= Records_.size())
     Records_.resize(Index + 1);
   return Index;
 }
 
-AdmissionVerdict AdmissionControl::arrive(const Arrival &Request,
+AdmissionDecision AdmissionControl::admit(const AdmissionRequest &Request,
                                           base::TimePoint Now) {
   if (!Request.Rate_.Allowed_)
-    return refuse(Cause::OverRate, Request.Rate_.RetryAfter_);
+    return refuse(Cause::RateLimited, Request.Rate_.RetryAfter_);
   if (Now + Work_.mean() > Request.Deadline_)
     return refuse(Cause::DeadlineTooShort, {});
   // Room goes to whoever waits, or a newcomer would overtake the line.
-  if (!Request.Room_ || Queue_.size() > 0)
+  if (!Request.HasCapacity_ || Queue_.size() > 0)
     return judgeWait(Request, Now);
   ++Running_;
-  AdmissionVerdict Verdict;
-  Verdict.Action_ = Action::Go;
+  AdmissionDecision Verdict;
+  Verdict.Action_ = Action::Admit;
   Verdict.ExpectedWork_ = Work_.mean();
   return Verdict;
 }
 
-AdmissionVerdict AdmissionControl::judgeWait(const Arrival &Request,
-                                             base::TimePoint Now) {
+AdmissionDecision AdmissionControl::judgeWait(const AdmissionRequest &Request,
+                                              base::TimePoint Now) {
   notePressure(Request.Customer_, Now);
   const base::Duration Wait =
       expectedWait(Request.Customer_, Request.Caller_, Now);
@@ -57,23 +58,24 @@
   if (!Overtakes && Wait > Longest)
     return refuse(TooLong, Wait - Longest);
 
-  Waiting Waiter;
+  QueuedRequest Waiter;
   Waiter.Ticket_ = Request.Ticket_;
   Waiter.Customer_ = Request.Customer_;
   Waiter.Caller_ = Request.Caller_;
   Waiter.Arrived_ = Now;
   Waiter.Deadline_ = Request.Deadline_;
   Waiter.Work_ = Work_.mean();
-  AdmissionVerdict Verdict;
+  AdmissionDecision Verdict;
   Verdict.Action_ = Action::Wait;
-  Verdict.Place_ = Queue_.push(Waiter);
+  Verdict.Position_ = Queue_.push(Waiter);
   Verdict.ExpectedWait_ = Wait;
   Verdict.ExpectedWork_ = Waiter.Work_;
   return Verdict;
 }
 
-std::optional<Waiting> AdmissionControl::next(base::TimePoint Now,
-                                              std::vector<GivenUp> &Left) {
+std::optional<QueuedRequest>
+AdmissionControl::dequeue(base::TimePoint Now,
+                          std::vector<DroppedRequest> &Left) {
   const auto NewestFirst = [this](CustomerIndex Customer) {
     return Limits_.NewestFirst_ && Records_[Customer].SaturatedSince_;
   };
@@ -89,16 +91,18 @@
   return std::nullopt;
 }
 
-Place AdmissionControl::putBack(const Waiting &Request) {
+QueuePosition AdmissionControl::requeue(const QueuedRequest &Request) {
   assert(Running_ > 0 && "only a request that was given out is put back");
   --Running_;
   Queue_.settle(Request.Customer_, Request.Caller_, Request.Work_, {});
   return Queue_.push(Request);
 }
 
-void AdmissionControl::finished(CustomerIndex Customer, std::uint64_t Caller,
-                                base::Duration Expected, base::Duration Took,
-                                bool Measured, base::TimePoint Now) noexcept {
+void AdmissionControl::recordCompletion(CustomerIndex Customer,
+                                        std::uint64_t Caller,
+                                        base::Duration Expected,
+                                        base::Duration Took, bool Measured,
+                                        base::TimePoint Now) noexcept {
   assert(Running_ > 0 && "only a request that was let in can end");
   --Running_;
   Queue_.settle(Customer, Caller, Expected, Took);
@@ -108,7 +112,8 @@
     Work_.add(Took);
 }
 
-void AdmissionControl::expire(base::TimePoint Now, std::vector<GivenUp> &Left) {
+void AdmissionControl::expire(base::TimePoint Now,
+                              std::vector<DroppedRequest> &Left) {
   refreshActive(Now);
   if (Queue_.size() == 0)
     return;
@@ -116,17 +121,18 @@
     notePressure(Each, Now);
   Scratch_.clear();
   Queue_.removeIf(
-      [this, Now](const Waiting &Each) {
+      [this, Now](const QueuedRequest &Each) {
         return mustLeave(Each, Now).has_value();
       },
       Scratch_);
-  for (const Waiting &Each : Scratch_)
+  for (const QueuedRequest &Each : Scratch_)
     Left.push_back(
         giveUp(Each, mustLeave(Each, Now).value_or(Cause::None), Now));
 }
 
 base::Duration AdmissionControl::shortWait() const noexcept {
-  return std::max(Limits_.ShortWait_, Limits_.ShortWaitWorks_ * Work_.mean());
+  return std::max(Limits_.SaturatedMaxWait_,
+                  Limits_.ShortWaitWorks_ * Work_.mean());
 }
 
 void AdmissionControl::refreshActive(base::TimePoint Now) noexcept {
@@ -152,7 +158,8 @@
   static constexpr double Standing = 0.9;
   static constexpr double Relieved = 0.5;
   Record &Own = Records_[Customer];
-  Own.Pressure_.note(Queue_.sizeOf(Customer) > 0, Now, Limits_.PressureMemory_);
+  Own.Pressure_.note(Queue_.sizeOf(Customer) > 0, Now,
+                     Limits_.SaturationWindow_);
   if (Own.Pressure_.part() < Relieved)
     Own.SaturatedSince_.reset();
   if (Own.Pressure_.part() > Standing && !Own.SaturatedSince_)
@@ -178,10 +185,10 @@
 }
 
 std::optional<Cause>
-AdmissionControl::mustLeave(const Waiting &Request,
+AdmissionControl::mustLeave(const QueuedRequest &Request,
                             base::TimePoint Now) const noexcept {
   if (Now + Work_.mean() > Request.Deadline_)
-    return Cause::DeadlinePassed;
+    return Cause::DeadlineExceeded;
   // What came before is a burst and was promised its wait.
   const bool WaitedLong = Now - Request.Arrived_ > shortWait();
   const auto &Since = Records_[Request.Customer_].SaturatedSince_;
@@ -190,17 +197,18 @@
   return std::nullopt;
 }
 
-AdmissionVerdict AdmissionControl::refuse(Cause Reason,
-                                          base::Duration RetryAfter) {
-  AdmissionVerdict Verdict;
+AdmissionDecision AdmissionControl::refuse(Cause Reason,
+                                           base::Duration RetryAfter) {
+  AdmissionDecision Verdict;
   Verdict.Action_ = Action::Refuse;
-  Verdict.Cause_ = Reason;
+  Verdict.Reason_ = Reason;
   Verdict.RetryAfter_ = RetryAfter;
   return Verdict;
 }
 
-GivenUp AdmissionControl::giveUp(const Waiting &Request, Cause Reason,
-                                 base::TimePoint Now) const {
+DroppedRequest AdmissionControl::giveUp(const QueuedRequest &Request,
+                                        Cause Reason,
+                                        base::TimePoint Now) const {
   return {Request, Reason,
           expectedWait(Request.Customer_, Request.Caller_, Now)};
 }
--- a/libs/admission/AdmissionControl.h
+++ b/libs/admission/AdmissionControl.h
@@ -11,10 +11,10 @@
 namespace lychee::admission {
 
 /// Why a request was not let in.
-enum class Cause : std::uint8_t {
+enum class RefusalReason : std::uint8_t {
   None,
   /// The customer's share of its fleet rate is used up.
-  OverRate,
+  RateLimited,
   /// Even alone, the work would end after the deadline.
   DeadlineTooShort,
   /// The wait in line would end after the deadline.
@@ -24,7 +24,7 @@
   /// It waited in vain: what the customer sends stays above what it is served.
   Saturated,
   /// It waited until its deadline could no longer be met.
-  DeadlinePassed,
+  DeadlineExceeded,
 };
 
 /// \returns the name that stands in log lines.
@@ -38,7 +38,7 @@
 };
 
 /// A request that asks to be let in.
-struct Arrival {
+struct AdmissionRequest {
   std::uint64_t Ticket_ = 0;
   CustomerIndex Customer_ = 0;
   /// Hash of caller and key.
@@ -46,17 +46,17 @@
   base::TimePoint Deadline_;
   RateCheck Rate_;
   /// True where a target has room for it now.
-  bool Room_ = false;
+  bool HasCapacity_ = false;
 };
 
 /// What becomes of a request, and why.
-struct AdmissionVerdict {
-  enum class Action : std::uint8_t { Go, Wait, Refuse };
+struct AdmissionDecision {
+  enum class Action : std::uint8_t { Admit, Wait, Refuse };
 
   Action Action_ = Action::Refuse;
-  Cause Cause_ = Cause::None;
+  Cause Reason_ = Cause::None;
   /// Where it stands in line, to give it up early.
-  Place Place_;
+  QueuePosition Position_;
   /// How long the wait is expected to last.
   base::Duration ExpectedWait_{};
   /// For a refusal: when coming back helps, zero where waiting does not.
@@ -66,9 +66,9 @@
 };
 
 /// A request that waited and is given up.
-struct GivenUp {
-  Waiting Request_;
-  Cause Cause_ = Cause::None;
+struct DroppedRequest {
+  QueuedRequest Request_;
+  Cause Reason_ = Cause::None;
   base::Duration RetryAfter_{};
 };
 
@@ -84,7 +84,7 @@
 ///  - Saturation: what a customer sends stays above what it is served. Its
 ///    line would grow to the full deadline, and everyone would be served just
 ///    before giving up. A customer whose line has stood nearly all of the last
-///    seconds gets only waits up to ShortWait_. \see Pressure
+///    seconds gets only waits up to SaturatedMaxWait_. \see Pressure
 ///  - Long work among short, heavy callers: see FairQueue.
 ///
 /// Not thread-safe: the owner guards it by its service's lock.
@@ -97,16 +97,17 @@
     /// first: 633 ms with 0.5 s, 1,591 with 2 s); the shorter, the more of
     /// long work among short is taken for saturation (worst customer refused
     /// 2.4% at 80% of capacity with 0.5 s, 0.3% with 2 s).
-    base::Duration PressureMemory_ = std::chrono::milliseconds(500);
+    base::Duration SaturationWindow_ = std::chrono::milliseconds(500);
     /// Longest wait then: ten ordinary requests. With 400 ms as many are
     /// answered in time, 12 ms later in the median.
-    base::Duration ShortWait_ = std::chrono::milliseconds(200);
+    base::Duration SaturatedMaxWait_ = std::chrono::milliseconds(200);
     /// The same in ordinary requests; the longer of the two holds, as a service
     /// of long work has to wait longer for the same number of turns.
     int ShortWaitWorks_ = 10;
     /// Then the latest request of the customer goes first: as many are
     /// answered in time as oldest first, with a median of 38 ms against 104 at
-    /// three times capacity. The price: a refusal comes after ShortWait_.
+    /// three times capacity. The price: a refusal comes after
+    /// SaturatedMaxWait_.
     bool NewestFirst_ = true;
     /// Requests of one customer in line: bounds memory, as waits are bounded
     /// by deadlines already.
@@ -121,37 +122,39 @@
   AdmissionControl &operator=(const AdmissionControl &) = delete;
 
   /// \returns the number by which this class knows the customer.
-  CustomerIndex enrol(const base::CustomerId &Customer, std::uint32_t Weight);
+  CustomerIndex registerCustomer(const base::CustomerId &Customer,
+                                 std::uint32_t Weight);
 
   /// Decides on a new request. One that may go counts as running until
   /// finished() is told of it.
-  AdmissionVerdict arrive(const Arrival &Request, base::TimePoint Now);
+  AdmissionDecision admit(const AdmissionRequest &Request, base::TimePoint Now);
 
   /// \returns the request that gets the room that has become free, if any
   /// waits; it counts as running. Those met on the way that can no longer meet
   /// their deadline are added to \p Left.
-  std::optional<Waiting> next(base::TimePoint Now, std::vector<GivenUp> &Left);
+  std::optional<QueuedRequest> dequeue(base::TimePoint Now,
+                                       std::vector<DroppedRequest> &Left);
 
   /// Puts back a request that next() gave out and that found no room.
-  Place putBack(const Waiting &Request);
+  QueuePosition requeue(const QueuedRequest &Request);
 
   /// A request let in has ended and took \p Took of slot time.
   /// \param Expected  the ExpectedWork_ of its verdict, or the Work_ with
   /// which next() gave it out.
   /// \param Measured  false where the send failed: such a time says nothing
   /// about the work of others, but is charged.
-  void finished(CustomerIndex Customer, std::uint64_t Caller,
-                base::Duration Expected, base::Duration Took, bool Measured,
-                base::TimePoint Now) noexcept;
+  void recordCompletion(CustomerIndex Customer, std::uint64_t Caller,
+                        base::Duration Expected, base::Duration Took,
+                        bool Measured, base::TimePoint Now) noexcept;
 
   /// Gives up a waiting request whose caller hung up.
-  void cancel(Place Where) { Queue_.remove(Where); }
+  void cancel(QueuePosition Where) { Queue_.remove(Where); }
 
   /// Gives up requests that can no longer be served in time. To be called at
   /// least every 10 ms while any waits.
-  void expire(base::TimePoint Now, std::vector<GivenUp> &Left);
+  void expire(base::TimePoint Now, std::vector<DroppedRequest> &Left);
 
-  std::size_t waiting() const noexcept { return Queue_.size(); }
+  std::size_t queued() const noexcept { return Queue_.size(); }
   std::uint32_t running() const noexcept { return Running_; }
   base::Duration expectedWork() const noexcept { return Work_.mean(); }
 
@@ -170,12 +173,13 @@
   void notePressure(CustomerIndex Customer, base::TimePoint Now) noexcept;
   base::Duration expectedWait(CustomerIndex Customer, std::uint64_t Caller,
                               base::TimePoint Now) const;
-  std::optional<Cause> mustLeave(const Waiting &Request,
+  std::optional<Cause> mustLeave(const QueuedRequest &Request,
                                  base::TimePoint Now) const noexcept;
-  static AdmissionVerdict refuse(Cause Reason, base::Duration RetryAfter);
-  AdmissionVerdict judgeWait(const Arrival &Request, base::TimePoint Now);
-  GivenUp giveUp(const Waiting &Request, Cause Reason,
-                 base::TimePoint Now) const;
+  static AdmissionDecision refuse(Cause Reason, base::Duration RetryAfter);
+  AdmissionDecision judgeWait(const AdmissionRequest &Request,
+                              base::TimePoint Now);
+  DroppedRequest giveUp(const QueuedRequest &Request, Cause Reason,
+                        base::TimePoint Now) const;
 
   Limits Limits_;
   FairQueue Queue_;
@@ -187,7 +191,7 @@
   /// Sum of the weights of the customers that used slots of late.
   std::uint32_t ActiveWeight_ = 0;
   base::TimePoint ActiveAt_;
-  std::vector<Waiting> Scratch_;
+  std::vector<QueuedRequest> Scratch_;
 };
 
 } // namespace lychee::admission
--- a/libs/admission/FairQueue.cpp
+++ b/libs/admission/FairQueue.cpp
@@ -7,7 +7,7 @@
 
 CustomerIndex FairQueue::enrol(const base::CustomerId &Customer,
                                std::uint32_t Weight) {
-  const auto [Place, Fresh] = IndexOf_.try_emplace(
+  const auto [QueuePosition, Fresh] = IndexOf_.try_emplace(
       Customer, static_cast<CustomerIndex>(Customers_.size()));
   if (Fresh) {
     Customers_.emplace_back();
@@ -17,7 +17,7 @@
   return Place->second;
 }
 
-Place FairQueue::push(const Waiting &Request) {
+QueuePosition FairQueue::push(const QueuedRequest &Request) {
   assert(Request.Customer_ < Customers_.size() && "enrol the customer first");
   const std::uint32_t FlowIndex = flowOf(Request.Customer_, Request.Caller_);
   CustomerLine &Owner = Customers_[Request.Customer_];
@@ -35,7 +35,7 @@
   return {Index, Nodes_[Index].Generation_};
 }
 
-std::optional<Waiting>
+std::optional<QueuedRequest>
 FairQueue::pop(const std::function<bool(CustomerIndex)> &NewestFirst) {
   if (Size_ == 0)
     return std::nullopt;
@@ -45,7 +45,7 @@
   const std::uint32_t FlowIndex = Owner.Callers_.turn(FlowEntries_, Newest);
   const Flow &Line = Flows_[FlowIndex];
   const std::uint32_t NodeIndex = Newest ? Line.Last_ : Line.First_;
-  const Waiting Request = Nodes_[NodeIndex].Request_;
+  const QueuedRequest Request = Nodes_[NodeIndex].Request_;
   Ring_.charge(CustomerEntries_[Chosen], Request.Work_);
   Owner.Callers_.charge(FlowEntries_[FlowIndex], Request.Work_);
   unlink(NodeIndex);
@@ -64,7 +64,7 @@
     Owner.Callers_.charge(FlowEntries_[Known->second], Difference);
 }
 
-std::optional<Waiting> FairQueue::remove(Place Where) {
+std::optional<QueuedRequest> FairQueue::remove(QueuePosition Where) {
   if (Where.Index_ >= Nodes_.size())
     return std::nullopt;
   const Node &Found = Nodes_[Where.Index_];
@@ -73,8 +73,9 @@
   return unlink(Where.Index_);
 }
 
-void FairQueue::removeIf(const std::function<bool(const Waiting &)> &Leaves,
-                         std::vector<Waiting> &Left) {
+void FairQueue::removeIf(
+    const std::function<bool(const QueuedRequest &)> &Leaves,
+    std::vector<QueuedRequest> &Left) {
   if (Size_ == 0)
     return;
   for (std::uint32_t Index = 0; Index < Nodes_.size(); ++Index) {
@@ -124,7 +125,7 @@
   return Index;
 }
 
-std::uint32_t FairQueue::takeNode(const Waiting &Request,
+std::uint32_t FairQueue::takeNode(const QueuedRequest &Request,
                                   std::uint32_t FlowIndex) {
   std::uint32_t Index = 0;
   if (FreeNodes_.empty()) {
@@ -157,7 +158,7 @@
   });
 }
 
-Waiting FairQueue::unlink(std::uint32_t NodeIndex) {
+QueuedRequest FairQueue::unlink(std::uint32_t NodeIndex) {
   Node &Leaving = Nodes_[NodeIndex];
   Flow &Line = Flows_[Leaving.Flow_];
   CustomerLine &Owner = Customers_[Line.Customer_];
--- a/libs/admission/FairQueue.h
+++ b/libs/admission/FairQueue.h
@@ -2,7 +2,7 @@
 #define LYCHEE_ADMISSION_FAIRQUEUE_H
 
 #include "admission/DeficitRing.h"
-#include "admission/Waiting.h"
+#include "admission/QueuedRequest.h"
 #include "base/Id.h"
 
 #include <functional>
@@ -36,12 +36,12 @@
   CustomerIndex enrol(const base::CustomerId &Customer, std::uint32_t Weight);
 
   /// Puts a request in line.
-  Place push(const Waiting &Request);
+  QueuePosition push(const QueuedRequest &Request);
 
   /// Takes out whose turn it is, and charges its expected work.
   /// \param NewestFirst  says of each customer whether its latest request goes
   /// first; see AdmissionControl for when that helps.
-  std::optional<Waiting>
+  std::optional<QueuedRequest>
   pop(const std::function<bool(CustomerIndex)> &NewestFirst);
 
   /// Corrects the charge of a request that was popped, or charges one that did
@@ -51,11 +51,11 @@
 
   /// Takes a request out before its turn.
   /// \returns it, or nothing where it has left the line already.
-  std::optional<Waiting> remove(Place Where);
+  std::optional<QueuedRequest> remove(QueuePosition Where);
 
   /// Takes out every request for which \p Leaves holds, into \p Left.
-  void removeIf(const std::function<bool(const Waiting &)> &Leaves,
-                std::vector<Waiting> &Left);
+  void removeIf(const std::function<bool(const QueuedRequest &)> &Leaves,
+                std::vector<QueuedRequest> &Left);
 
   /// \returns the slot time of this customer that is served before a request
   /// that this caller would push now.
@@ -77,7 +77,7 @@
   static constexpr std::uint32_t None = UINT32_MAX;
 
   struct Node {
-    Waiting Request_;
+    QueuedRequest Request_;
     std::uint32_t Flow_ = None;
     std::uint32_t Previous_ = None;
     std::uint32_t Next_ = None;
@@ -101,9 +101,9 @@
   };
 
   std::uint32_t flowOf(CustomerIndex Customer, std::uint64_t Caller);
-  std::uint32_t takeNode(const Waiting &Request, std::uint32_t FlowIndex);
+  std::uint32_t takeNode(const QueuedRequest &Request, std::uint32_t FlowIndex);
   void dropFlows(CustomerLine &Idle);
-  Waiting unlink(std::uint32_t NodeIndex);
+  QueuedRequest unlink(std::uint32_t NodeIndex);
 
   std::vector<Node> Nodes_;
   std::vector<std::uint32_t> FreeNodes_;
--- a/libs/admission/Waiting.h
+++ b/libs/admission/QueuedRequest.h
@@ -1,5 +1,5 @@
-#ifndef LYCHEE_ADMISSION_WAITING_H
-#define LYCHEE_ADMISSION_WAITING_H
+#ifndef LYCHEE_ADMISSION_QUEUEDREQUEST_H
+#define LYCHEE_ADMISSION_QUEUEDREQUEST_H
 
 #include "base/Time.h"
 
@@ -11,7 +11,7 @@
 using CustomerIndex = std::uint32_t;
 
 /// A request that waits for room.
-struct Waiting {
+struct QueuedRequest {
   /// Names the request to its owner.
   std::uint64_t Ticket_ = 0;
   CustomerIndex Customer_ = 0;
@@ -24,7 +24,7 @@
 };
 
 /// Where a waiting request stands, to give it up early.
-struct Place {
+struct QueuePosition {
   std::uint32_t Index_ = UINT32_MAX;
   std::uint32_t Generation_ = 0;
 };
--- a/libs/budget/EpochSettlement.cpp
+++ b/libs/budget/EpochSettlement.cpp
@@ -19,7 +19,7 @@
     Open_.erase(Host);
 }
 
-void EpochSettlement::leaseEnded(const base::HostId &Host) {
+void EpochSettlement::recordLeaseEnd(const base::HostId &Host) {
   Open_.erase(Host);
 }
 
--- a/libs/budget/EpochSettlement.h
+++ b/libs/budget/EpochSettlement.h
@@ -30,13 +30,13 @@
 
   /// \p Host's lease has run out by the longest clock drift and pause bound,
   /// or the host is known to be gone.
-  void leaseEnded(const base::HostId &Host);
+  void recordLeaseEnd(const base::HostId &Host);
 
   std::uint64_t epoch() const noexcept { return Epoch_; }
   bool settled() const noexcept { return Epoch_ != 0 && Open_.empty(); }
 
   /// \returns the hosts still waited for, for status and logs.
-  const std::set<base::HostId> &open() const noexcept { return Open_; }
+  const std::set<base::HostId> &pendingHosts() const noexcept { return Open_; }
 
 private:
   std::uint64_t Epoch_ = 0;
--- a/libs/budget/ExchangePolicy.cpp
+++ b/libs/budget/ExchangePolicy.cpp
@@ -13,15 +13,16 @@
   if (Burst <= 0 || Tokens <= 0)
     return 0;
   const base::Int128 Product =
-      static_cast<base::Int128>(Tokens) * Whole + Burst - 1;
-  return static_cast<Parts>(std::min<base::Int128>(Product / Burst, Whole));
+      static_cast<base::Int128>(Tokens) * TotalParts + Burst - 1;
+  return static_cast<Parts>(
+      std::min<base::Int128>(Product / Burst, TotalParts));
 }
 
 } // namespace
 
 Parts ExchangePolicy::needed(const ShareState &Own) const noexcept {
   const double Needed = static_cast<double>(Own.Demand_) * DemandMargin_;
-  return static_cast<Parts>(std::min(Needed, static_cast<double>(Whole)));
+  return static_cast<Parts>(std::min(Needed, static_cast<double>(TotalParts)));
 }
 
 Parts ExchangePolicy::floorOf(const ShareState &Own) const noexcept {
--- a/libs/budget/ExchangePolicy.h
+++ b/libs/budget/ExchangePolicy.h
@@ -41,7 +41,7 @@
 /// tokens do not last until a peer could answer. A peer gives what it does not
 /// need itself above a floor; the floor lets the first requests of a quiet
 /// customer in without waiting for anyone.
-/// \see BudgetBook, docs/design/budget.md for the figures
+/// \see RateBudgets, docs/design/budget.md for the figures
 struct ExchangePolicy {
   /// A host holds this times its demand: Poisson arrivals of 10/s over the one
   /// second of DemandEstimator vary by a third.
--- a/libs/budget/BudgetBook.cpp
+++ b/libs/budget/RateBudgets.cpp
@@ -1,4 +1,4 @@
-#include "budget/BudgetBook.h"
+#include "budget/RateBudgets.h"
 
 #include "base/Hash.h"
 
@@ -27,23 +27,23 @@
 
 } // namespace
 
-BudgetBook::BudgetBook(base::HostId Self, ExchangePolicy Policy)
+RateBudgets::RateBudgets(base::HostId Self, ExchangePolicy Policy)
     : Self_(std::move(Self)), Policy_(Policy) {}
 
-BudgetBook::Shard &BudgetBook::shardOf(std::string_view Budget) noexcept {
+RateBudgets::Shard &RateBudgets::shardOf(std::string_view Budget) noexcept {
   return Shards_[base::stableHash(Budget) % ShardCount];
 }
 
-void BudgetBook::joinEpoch(Entry &Of, const EpochGrant &Grant, bool Settled,
-                           base::TimePoint Now) const {
+void RateBudgets::joinEpoch(Entry &Of, const EpochGrant &Grant, bool Settled,
+                            base::TimePoint Now) const {
   Of.Share_.enterEpoch(Grant.Epoch_, equalShare(Grant.Hosts_),
                        Grant.LeaseUntil_, Now);
   if (Settled)
     Of.Share_.settle(Grant.Epoch_, Now);
 }
 
-void BudgetBook::setTotal(std::string_view Budget, const RateTotal &Total,
-                          base::TimePoint Now) {
+void RateBudgets::setTotal(std::string_view Budget, const RateTotal &Total,
+                           base::TimePoint Now) {
   const std::scoped_lock EpochGuard(EpochLock_);
   Shard &Home = shardOf(Budget);
   const std::scoped_lock Guard(Home.Lock_);
@@ -57,7 +57,7 @@
   Home.Entries_.emplace(Budget, std::move(Fresh));
 }
 
-void BudgetBook::enterEpoch(const EpochGrant &Grant, base::TimePoint Now) {
+void RateBudgets::enterEpoch(const EpochGrant &Grant, base::TimePoint Now) {
   const std::scoped_lock EpochGuard(EpochLock_);
   if (Grant.Epoch_ <= Grant_.Epoch_)
     return;
@@ -70,7 +70,7 @@
   }
 }
 
-void BudgetBook::settle(std::uint64_t Epoch, base::TimePoint Now) {
+void RateBudgets::settle(std::uint64_t Epoch, base::TimePoint Now) {
   const std::scoped_lock EpochGuard(EpochLock_);
   if (Epoch != Grant_.Epoch_ || Settled_)
     return;
@@ -82,8 +82,8 @@
   }
 }
 
-void BudgetBook::renewLease(std::uint64_t Epoch, base::TimePoint Until,
-                            base::TimePoint Now) {
+void RateBudgets::renewLease(std::uint64_t Epoch, base::TimePoint Until,
+                             base::TimePoint Now) {
   const std::scoped_lock EpochGuard(EpochLock_);
   if (Epoch != Grant_.Epoch_)
     return;
@@ -95,17 +95,17 @@
   }
 }
 
-SpendOutcome BudgetBook::spend(std::string_view Budget, base::TimePoint Now) {
+SpendOutcome RateBudgets::spend(std::string_view Budget, base::TimePoint Now) {
   return spendFrom(Budget, true, Now);
 }
 
-SpendOutcome BudgetBook::spendAgain(std::string_view Budget,
-                                    base::TimePoint Now) {
+SpendOutcome RateBudgets::retrySpend(std::string_view Budget,
+                                     base::TimePoint Now) {
   return spendFrom(Budget, false, Now);
 }
 
-SpendOutcome BudgetBook::spendFrom(std::string_view Budget, bool IsDemand,
-                                   base::TimePoint Now) {
+SpendOutcome RateBudgets::spendFrom(std::string_view Budget, bool IsDemand,
+                                    base::TimePoint Now) {
   Shard &Home = shardOf(Budget);
   const std::scoped_lock Guard(Home.Lock_);
   const auto Found = Home.Entries_.find(Budget);
@@ -121,14 +121,14 @@
   return {Result, Of.Share_.timeUntil(TokensPerRequest, Now)};
 }
 
-ShareState BudgetBook::needOf(Entry &Of, base::TimePoint Now) const noexcept {
+ShareState RateBudgets::needOf(Entry &Of, base::TimePoint Now) const noexcept {
   return stateOf(
       Of,
       std::max(Of.Demand_.ratePerSecond(Now), Of.Recent_.ratePerSecond(Now)),
       Now);
 }
 
-ShareState BudgetBook::spareOf(Entry &Of, base::TimePoint Now) const noexcept {
+ShareState RateBudgets::spareOf(Entry &Of, base::TimePoint Now) const noexcept {
   const double Usual = Of.Demand_.ratePerSecond(Now);
   const double Recent = Of.Recent_.ratePerSecond(Now);
   const bool IsMeaningful =
@@ -137,15 +137,15 @@
   return stateOf(Of, HaveLeft ? Recent : std::max(Usual, Recent), Now);
 }
 
-ShareState BudgetBook::stateOf(Entry &Of, double PerSecond,
-                               base::TimePoint Now) const noexcept {
+ShareState RateBudgets::stateOf(Entry &Of, double PerSecond,
+                                base::TimePoint Now) const noexcept {
   ShareState State;
   State.Held_ = Of.Share_.share().usable(Now);
   const double TotalRate =
       static_cast<double>(Of.Share_.total().MicroRequestsPerSecond_) * 1e-6;
   if (TotalRate > 0)
     State.Demand_ = static_cast<Parts>(std::min(PerSecond / TotalRate, 1.0) *
-                                       static_cast<double>(Whole));
+                                       static_cast<double>(TotalParts));
   State.Level_ = Of.Share_.level(Now);
   State.Burst_ = Of.Share_.total().Burst_;
   const double SoonRequests = std::min(PerSecond, TotalRate) * ExchangeSeconds;
@@ -158,8 +158,8 @@
   return State;
 }
 
-std::optional<Ask> BudgetBook::makeAsk(std::string_view Budget, Entry &Of,
-                                       base::TimePoint Now) {
+std::optional<ShareRequest>
+RateBudgets::makeAsk(std::string_view Budget, Entry &Of, base::TimePoint Now) {
   if (!Of.Share_.share().settled() || Now < Of.LastAsk_ + AskInterval)
     return std::nullopt;
   ShareState State = needOf(Of, Now);
@@ -168,17 +168,17 @@
   if (Wanted.isNothing())
     return std::nullopt;
   Of.LastAsk_ = Now;
-  Ask Made;
+  ShareRequest Made;
   Made.Budget_ = Budget;
   Made.Epoch_ = Of.Share_.share().epoch();
-  Made.Asker_ = Self_;
+  Made.Requester_ = Self_;
   Made.Rate_ = Wanted.Parts_.Rate_;
   Made.Tokens_ = Wanted.Tokens_;
   return Made;
 }
 
-std::optional<Ask> BudgetBook::askFor(std::string_view Budget,
-                                      base::TimePoint Now) {
+std::optional<ShareRequest> RateBudgets::askFor(std::string_view Budget,
+                                                base::TimePoint Now) {
   const std::scoped_lock EpochGuard(EpochLock_);
   Shard &Home = shardOf(Budget);
   const std::scoped_lock Guard(Home.Lock_);
@@ -188,20 +188,20 @@
   return makeAsk(Budget, Found->second, Now);
 }
 
-std::vector<Ask> BudgetBook::asksDue(base::TimePoint Now) {
+std::vector<ShareRequest> RateBudgets::dueRequests(base::TimePoint Now) {
   const std::scoped_lock EpochGuard(EpochLock_);
-  std::vector<Ask> Due;
+  std::vector<ShareRequest> Due;
   for (Shard &Each : Shards_) {
     const std::scoped_lock Guard(Each.Lock_);
     for (auto &[Name, Of] : Each.Entries_)
-      if (std::optional<Ask> Made = makeAsk(Name, Of, Now))
+      if (std::optional<ShareRequest> Made = makeAsk(Name, Of, Now))
         Due.push_back(std::move(*Made));
   }
   return Due;
 }
 
-std::optional<Transfer> BudgetBook::give(const Ask &Asked,
-                                         base::TimePoint Now) {
+std::optional<Transfer> RateBudgets::donate(const ShareRequest &Asked,
+                                            base::TimePoint Now) {
   const std::scoped_lock EpochGuard(EpochLock_);
   Shard &Home = shardOf(Asked.Budget_);
   const std::scoped_lock Guard(Home.Lock_);
@@ -217,10 +217,10 @@
       Policy_.granted(State, Asked.Rate_, Asked.Tokens_);
   if (Given.isNothing())
     return std::nullopt;
-  return Of.Share_.donate(Asked.Asker_, Given.Parts_, Given.Tokens_, Now);
+  return Of.Share_.donate(Asked.Requester_, Given.Parts_, Given.Tokens_, Now);
 }
 
-bool BudgetBook::accept(const Transfer &Received, base::TimePoint Now) {
+bool RateBudgets::accept(const Transfer &Received, base::TimePoint Now) {
   Shard &Home = shardOf(Received.Budget_);
   const std::scoped_lock Guard(Home.Lock_);
   const auto Found = Home.Entries_.find(Received.Budget_);
@@ -229,7 +229,7 @@
   return Found->second.Share_.accept(Received, Now);
 }
 
-std::vector<SpareOffer> BudgetBook::offers(base::TimePoint Now) {
+std::vector<SpareOffer> RateBudgets::offers(base::TimePoint Now) {
   const std::scoped_lock EpochGuard(EpochLock_);
   std::vector<SpareOffer> Offers;
   for (Shard &Each : Shards_) {
--- a/libs/budget/BudgetBook.h
+++ b/libs/budget/RateBudgets.h
@@ -1,5 +1,5 @@
-#ifndef LYCHEE_BUDGET_BUDGETBOOK_H
-#define LYCHEE_BUDGET_BUDGETBOOK_H
+#ifndef LYCHEE_BUDGET_RATEBUDGETS_H
+#define LYCHEE_BUDGET_RATEBUDGETS_H
 
 #include "budget/DemandEstimator.h"
 #include "budget/ExchangePolicy.h"
@@ -35,7 +35,7 @@
   SpendResult Result_ = SpendResult::NoShare;
   /// Where Short: when this host's share alone would have refilled;
   /// Duration::max() where it never does.
-  base::Duration RefillsIn_{};
+  base::Duration RefillTime_{};
 };
 
 /// All rate budgets of one host: one RateShare for each customer, with the
@@ -44,11 +44,11 @@
 ///
 /// The fleet's I/O asks it for asks that are due, hands it peers' asks and
 /// transfers, and tells it of epochs and leases. \see ExchangePolicy
-class BudgetBook {
+class RateBudgets {
 public:
-  explicit BudgetBook(base::HostId Self, ExchangePolicy Policy = {});
-  BudgetBook(const BudgetBook &) = delete;
-  BudgetBook &operator=(const BudgetBook &) = delete;
+  explicit RateBudgets(base::HostId Self, ExchangePolicy Policy = {});
+  RateBudgets(const RateBudgets &) = delete;
+  RateBudgets &operator=(const RateBudgets &) = delete;
 
   // Settings, epochs, leases.
 
@@ -70,20 +70,22 @@
 
   /// The same for a request that was short before and waits for tokens on
   /// their way: it is not counted as demand once more.
-  SpendOutcome spendAgain(std::string_view Budget, base::TimePoint Now);
+  SpendOutcome retrySpend(std::string_view Budget, base::TimePoint Now);
 
   // Exchange with peers.
 
   /// \returns an ask for the budget, where one helps and none was made within
   /// AskInterval.
-  std::optional<Ask> askFor(std::string_view Budget, base::TimePoint Now);
+  std::optional<ShareRequest> askFor(std::string_view Budget,
+                                     base::TimePoint Now);
 
   /// \returns the asks that are due of all budgets.
-  std::vector<Ask> asksDue(base::TimePoint Now);
+  std::vector<ShareRequest> dueRequests(base::TimePoint Now);
 
   /// Gives a peer what can be spared; the parts have left this host's share
   /// when it returns.
-  std::optional<Transfer> give(const Ask &Asked, base::TimePoint Now);
+  std::optional<Transfer> donate(const ShareRequest &Asked,
+                                 base::TimePoint Now);
 
   /// Adds what a peer gave. \returns false where it does not count.
   bool accept(const Transfer &Received, base::TimePoint Now);
@@ -125,8 +127,8 @@
                      base::TimePoint Now) const noexcept;
   ShareState needOf(Entry &Of, base::TimePoint Now) const noexcept;
   ShareState spareOf(Entry &Of, base::TimePoint Now) const noexcept;
-  std::optional<Ask> makeAsk(std::string_view Budget, Entry &Of,
-                             base::TimePoint Now);
+  std::optional<ShareRequest> makeAsk(std::string_view Budget, Entry &Of,
+                                      base::TimePoint Now);
   void joinEpoch(Entry &Of, const EpochGrant &Grant, bool Settled,
                  base::TimePoint Now) const;
 
--- a/libs/budget/RateShare.cpp
+++ b/libs/budget/RateShare.cpp
@@ -32,7 +32,7 @@
 
 std::int64_t RateShare::portion(std::int64_t Amount, Parts Held) noexcept {
   const base::Int128 Product = static_cast<base::Int128>(Amount) * Held;
-  return static_cast<std::int64_t>(Product / Whole);
+  return static_cast<std::int64_t>(Product / TotalParts);
 }
 
 void RateShare::applyLimits(base::TimePoint Now) noexcept {
--- a/libs/budget/RateShare.h
+++ b/libs/budget/RateShare.h
@@ -35,7 +35,7 @@
 /// tokens move between buckets donor first. There is no refund: a token given
 /// back after the bucket has refilled would let one more through than the
 /// burst, in a window that begins after the first spending.
-/// Not thread-safe. \see BudgetBook, DemandEstimator
+/// Not thread-safe. \see RateBudgets, DemandEstimator
 class RateShare {
 public:
   RateShare(std::string Budget, base::HostId Self, const RateTotal &Total,
--- a/libs/budget/ShareAmount.h
+++ b/libs/budget/ShareAmount.h
@@ -15,7 +15,7 @@
 
 /// The parts that make the whole of a total: fine enough that one part of a
 /// million requests a second is under one request in eleven days.
-inline constexpr Parts Whole = Parts(1) << 40;
+inline constexpr Parts TotalParts = Parts(1) << 40;
 
 /// How much of a total's rate and of its capacity (a burst, or slots) one
 /// holder has.
@@ -48,7 +48,7 @@
 constexpr ShareAmount equalShare(std::uint32_t Holders) noexcept {
   if (Holders == 0)
     return {};
-  return {Whole / Holders, Whole / Holders};
+  return {TotalParts / Holders, TotalParts / Holders};
 }
 
 } // namespace lychee::budget
--- a/libs/budget/SlotShare.cpp
+++ b/libs/budget/SlotShare.cpp
@@ -16,9 +16,9 @@
   // that came in two transfers would count as 10. All hosts together still get
   // at most the total: their exact slots add up to no more than it, so with
   // fewer than 2^20 hosts the rounded ones stay below one slot more.
-  constexpr Parts Rounding = Whole >> 20;
+  constexpr Parts Rounding = TotalParts >> 20;
   const base::Int128 Scaled = static_cast<base::Int128>(Total_) * Held;
-  return static_cast<std::int64_t>((Scaled + Rounding) / Whole);
+  return static_cast<std::int64_t>((Scaled + Rounding) / TotalParts);
 }
 
 bool SlotShare::enterEpoch(std::uint64_t Epoch, const ShareAmount &Allotment,
@@ -67,9 +67,9 @@
   // Parts of whole slots, rounded up so that the receiver gets each slot whole,
   // and held back where the rounding would take a slot that is in use.
   const Parts Wanted = static_cast<Parts>(
-      (static_cast<base::Int128>(Most) * Whole + Total_ - 1) / Total_);
+      (static_cast<base::Int128>(Most) * TotalParts + Total_ - 1) / Total_);
   const Parts InUseParts = static_cast<Parts>(
-      (static_cast<base::Int128>(InUse_) * Whole + Total_ - 1) / Total_);
+      (static_cast<base::Int128>(InUse_) * TotalParts + Total_ - 1) / Total_);
   const Parts Free = Share_.usable(Now).Capacity_ - InUseParts;
   if (Free <= 0)
     return std::nullopt;
--- a/libs/budget/SlotShare.h
+++ b/libs/budget/SlotShare.h
@@ -8,7 +8,7 @@
 /// One host's share of a total of things in use at once: a region's slots that
 /// work steered into it may take, or the bits a second of a link. What is in
 /// use is never given away: a share shrinks to what is in use at the least.
-/// Not thread-safe. \see EpochShare for the rules, BudgetBook
+/// Not thread-safe. \see EpochShare for the rules, RateBudgets
 class SlotShare {
 public:
   /// \param Total  slots of the whole fleet.
--- a/libs/budget/Transfer.h
+++ b/libs/budget/Transfer.h
@@ -26,10 +26,10 @@
 };
 
 /// A host's wish for parts of a peer's share.
-struct Ask {
+struct ShareRequest {
   std::string Budget_;
   std::uint64_t Epoch_ = 0;
-  base::HostId Asker_;
+  base::HostId Requester_;
   /// Wanted rate, as parts of the total.
   Parts Rate_ = 0;
   /// Wanted tokens, in billionths of a request.
--- a/libs/claims/ClaimCodec.cpp
+++ b/libs/claims/ClaimCodec.cpp
@@ -131,7 +131,7 @@
 
 Json::Value ClaimCodec::toJson(const ClaimVerdict &From) {
   Json::Value Made(Json::objectValue);
-  Made["answer"] = numberOf(static_cast<std::uint64_t>(From.Answer_));
+  Made["answer"] = numberOf(static_cast<std::uint64_t>(From.Outcome_));
   Made["key"] = toText(From.Key_);
   Made["grant"] = numberOf(From.Grant_);
   Made["status"] = From.Status_;
@@ -145,10 +145,11 @@
     return std::nullopt;
   const auto Found = toKey(From["key"].asString());
   const std::uint64_t Answer = From["answer"].asUInt64();
-  if (!Found || Answer > static_cast<std::uint64_t>(ClaimAnswer::StoreDown))
+  if (!Found ||
+      Answer > static_cast<std::uint64_t>(ClaimAnswer::StoreUnavailable))
     return std::nullopt;
   ClaimVerdict Made;
-  Made.Answer_ = static_cast<ClaimAnswer>(Answer);
+  Made.Outcome_ = static_cast<ClaimAnswer>(Answer);
   Made.Key_ = *Found;
   Made.Grant_ = From["grant"].asUInt64();
   Made.Status_ = static_cast<std::uint16_t>(From["status"].asUInt());
--- a/libs/claims/ClaimCodec.h
+++ b/libs/claims/ClaimCodec.h
@@ -22,8 +22,8 @@
   static std::optional<retrying::ClaimObject>
   decodeObject(std::string_view Text, std::uint64_t Version);
 
-  static Json::Value toJson(const retrying::ClaimVerdict &From);
-  static std::optional<retrying::ClaimVerdict>
+  static Json::Value toJson(const retrying::ClaimResult &From);
+  static std::optional<retrying::ClaimResult>
   toVerdict(const Json::Value &From);
 
   static std::string toText(const retrying::ClaimKey &Key);
--- a/libs/claims/ClaimPartition.cpp
+++ b/libs/claims/ClaimPartition.cpp
@@ -66,7 +66,7 @@
     return {ClaimAnswer::NotOwner, Key, 0, 0};
   const ClaimVerdict Verdict =
       Table_.claim(Key, Fingerprint, SystemClock::wallNow());
-  if (Verdict.Answer_ == ClaimAnswer::Pending)
+  if (Verdict.Outcome_ == ClaimAnswer::Pending)
     Askers_[Key] = Asker;
   wakeLoop();
   return Verdict;
--- a/libs/claims/ClaimPartition.h
+++ b/libs/claims/ClaimPartition.h
@@ -27,7 +27,7 @@
 public:
   /// Tells an asker its verdict.
   using Tell = std::function<void(const base::HostId &Asker,
-                                  const retrying::ClaimVerdict &Verdict)>;
+                                  const retrying::ClaimResult &Verdict)>;
 
   /// 20 writes a second: 8 partitions stay below half of the several hundred
   /// that the store takes, and a claim waits at most this much longer.
@@ -44,9 +44,9 @@
   /// Another host owns it now; what waits is told so.
   void disown();
 
-  retrying::ClaimVerdict claim(const retrying::ClaimKey &Key,
-                               std::uint64_t Fingerprint,
-                               const base::HostId &Asker);
+  retrying::ClaimResult claim(const retrying::ClaimKey &Key,
+                              std::uint64_t Fingerprint,
+                              const base::HostId &Asker);
 
   /// The holder's word on how a grant ended; Ran::No also gives up one that is
   /// still waiting.
@@ -67,7 +67,7 @@
   Task writeOnce(retrying::ClaimObject Planned);
   Task readBackOnce();
   Task waitFor(base::Duration Span);
-  void tellAll(const std::vector<retrying::ClaimVerdict> &Verdicts);
+  void tellAll(const std::vector<retrying::ClaimResult> &Verdicts);
 
   const boost::asio::any_io_executor Strand_;
   store::Store &Store_;
--- a/libs/claims/ClaimService.cpp
+++ b/libs/claims/ClaimService.cpp
@@ -107,8 +107,8 @@
 
 // Who owns what.
 
-void ClaimService::membersChanged(std::uint64_t Epoch,
-                                  std::vector<ClaimMember> Members) {
+void ClaimService::updateMembers(std::uint64_t Epoch,
+                                 std::vector<ClaimMember> Members) {
   asio::post(Strand_, [this, Epoch, Changed = std::move(Members)] {
     if (Epoch <= Epoch_ || Changed.empty())
       return;
@@ -200,13 +200,13 @@
   // request has run and before the owner has heard so.
   if (Found == Waiters_.end() || Found->second.Owner_ != Owner)
     return;
-  if (Verdict.Answer_ == ClaimAnswer::Pending) {
+  if (Verdict.Outcome_ == ClaimAnswer::Pending) {
     Found->second.Grant_ = Verdict.Grant_;
     return;
   }
   const Answered Done = std::move(Found->second.Done_);
   Waiters_.erase(Found);
-  if (Verdict.Answer_ == ClaimAnswer::Granted)
+  if (Verdict.Outcome_ == ClaimAnswer::Granted)
     Grants_[Verdict.Key_] = {Verdict.Grant_, Owner};
   Done(Verdict);
 }
@@ -226,7 +226,7 @@
       Waiters_.erase(Key);
       if (Each.Grant_ != 0)
         finishAt(Each.Owner_, {Key, Each.Grant_, retrying::Ran::No, 0});
-      Each.Done_({ClaimAnswer::StoreDown, Key, 0, 0});
+      Each.Done_({ClaimAnswer::StoreUnavailable, Key, 0, 0});
     }
   }
 }
--- a/libs/claims/ClaimService.h
+++ b/libs/claims/ClaimService.h
@@ -34,7 +34,7 @@
 /// of a peer listener. \see ClaimPartition, docs/design/claims.md
 class ClaimService {
 public:
-  using Answered = std::function<void(const retrying::ClaimVerdict &Verdict)>;
+  using Answered = std::function<void(const retrying::ClaimResult &Verdict)>;
 
   /// Partitions of the whole fleet. More owners share the work, more writes
   /// reach the store: each may make 20 a second.
@@ -53,7 +53,7 @@
   void stop();
 
   /// Partitions go to the members by rendezvous hashing. From any thread.
-  void membersChanged(std::uint64_t Epoch, std::vector<ClaimMember> Members);
+  void updateMembers(std::uint64_t Epoch, std::vector<ClaimMember> Members);
 
   /// Asks to run a request. \p Done is called once, from the strand.
   void claim(const retrying::ClaimKey &Key, std::uint64_t Fingerprint,
@@ -99,9 +99,9 @@
                      Answered Done);
   Task claimRemotely(retrying::ClaimKey Key, std::uint64_t Fingerprint,
                      base::HostId Owner);
-  void tell(const base::HostId &Asker, const retrying::ClaimVerdict &Verdict);
+  void tell(const base::HostId &Asker, const retrying::ClaimResult &Verdict);
   Task tellRemotely(std::string Address, std::string Verdict);
-  void settleWaiter(const retrying::ClaimVerdict &Verdict,
+  void settleWaiter(const retrying::ClaimResult &Verdict,
                     const base::HostId &Owner);
   void finishAt(const base::HostId &Owner, const Word &Ended);
   Task finishRemotely(std::string Address, std::string Text);
--- a/libs/dispatch/DispatchLearning.cpp
+++ b/libs/dispatch/DispatchLearning.cpp
@@ -55,7 +55,7 @@
   }
   switch (Report.End_) {
   case SendEnd::Answered:
-    Suspects_.answered(Request.Fingerprint_);
+    Suspects_.recordResponse(Request.Fingerprint_);
     if (Report.Status_ >= FirstServerFailure) {
       Target->Trust_.failed(Now);
       break;
@@ -76,18 +76,18 @@
     Target->Trust_.unreachable(Now);
     noteDown(Target->Record_.Id_, Now);
     break;
-  case SendEnd::ClosedUnwritten:
-  case SendEnd::CancelledUnwritten:
+  case SendEnd::ClosedBeforeWrite:
+  case SendEnd::CancelledBeforeWrite:
   case SendEnd::Cancelled:
     break;
-  case SendEnd::LostPartlyWritten:
-  case SendEnd::LostUnanswered:
+  case SendEnd::LostAfterPartialWrite:
+  case SendEnd::LostBeforeResponse:
     Target->Trust_.failed(Now);
     if (!Report.Silent_)
       noteLoss(Request, Target->Record_.Id_, Now);
     break;
-  case SendEnd::AnswerCut:
-  case SendEnd::AnswerUnusable:
+  case SendEnd::ResponseTruncated:
+  case SendEnd::ResponseInvalid:
     Target->Trust_.failed(Now);
     break;
   }
@@ -107,7 +107,7 @@
                                 base::TimePoint Now) {
   for (const Loss &Each : Losses_)
     if (Each.Target_ == Target && Now - Each.At_ < DownAfterLoss)
-      Suspects_.lost(Each.Fingerprint_, Target, Now);
+      Suspects_.recordTargetLoss(Each.Fingerprint_, Target, Now);
   std::erase_if(Losses_, [&](const Loss &Each) {
     return Each.Target_ == Target || Now - Each.At_ >= DownAfterLoss;
   });
--- a/libs/dispatch/DispatchSteering.cpp
+++ b/libs/dispatch/DispatchSteering.cpp
@@ -283,9 +283,9 @@
       Report.End_ == SendEnd::Answered && Report.Status_ >= FirstServerFailure;
   if (OwnFailure)
     return Request.Idempotent_ && Request.Sends_ < Request.MaximumSends_;
-  const retrying::SendVerdict Verdict = retrying::judgeSend(
+  const retrying::RetryVerdict Verdict = retrying::evaluateRetry(
       {Report.End_, Request.Idempotent_, Report.AnswerStarted_});
-  return Verdict.mayResend() && Request.Sends_ < Request.MaximumSends_;
+  return Verdict.mayRetry() && Request.Sends_ < Request.MaximumSends_;
 }
 
 Decision DispatchSteering::finish(std::uint64_t Ticket,
@@ -301,16 +301,16 @@
       Request.Tried_.empty() ? nullptr : find(Service, Request.Tried_.back());
   learn(Request, Target, Report, Now);
   const bool Reached = Report.End_ != SendEnd::ConnectFailed &&
-                       Report.End_ != SendEnd::ClosedUnwritten;
+                       Report.End_ != SendEnd::ClosedBeforeWrite;
   if (!Reached) {
     --Request.Sends_;
     ++Request.Misses_;
   }
   // The target closed a kept connection just then; a new one will do.
-  if (Report.End_ == SendEnd::ClosedUnwritten && !Request.Tried_.empty())
+  if (Report.End_ == SendEnd::ClosedBeforeWrite && !Request.Tried_.empty())
     Request.Tried_.pop_back();
   const retrying::Ran Ran =
-      retrying::judgeSend(
+      retrying::evaluateRetry(
           {Report.End_, Request.Idempotent_, Report.AnswerStarted_})
           .Ran_;
   Request.MayHaveRun_ = Request.MayHaveRun_ || Ran != retrying::Ran::No;
@@ -324,7 +324,7 @@
     return send(Ticket, Request, Now);
   const bool Over = Report.End_ == SendEnd::Answered ||
                     Report.End_ == SendEnd::Cancelled ||
-                    Report.End_ == SendEnd::CancelledUnwritten;
+                    Report.End_ == SendEnd::CancelledBeforeWrite;
   Decision Made =
       endFailed(Ticket, Report.End_ != SendEnd::Shed, LeastRetryAfter);
   return Over ? Decision() : Made;
--- a/libs/exchange/EpochTracker.cpp
+++ b/libs/exchange/EpochTracker.cpp
@@ -13,10 +13,10 @@
     Settlement_.begin(Epoch - 1, Members);
   Settlement_.begin(Epoch, Members);
   Members_.assign(Members.begin(), Members.end());
-  const std::set<base::HostId> Open = Settlement_.open();
+  const std::set<base::HostId> Open = Settlement_.pendingHosts();
   for (const base::HostId &Each : Open)
     if (std::find(Members_.begin(), Members_.end(), Each) == Members_.end())
-      Settlement_.leaseEnded(Each);
+      Settlement_.recordLeaseEnd(Each);
   return true;
 }
 
@@ -38,7 +38,7 @@
 
 std::vector<base::HostId> EpochTracker::waitedFor() const {
   const std::scoped_lock Guard(Lock_);
-  return {Settlement_.open().begin(), Settlement_.open().end()};
+  return {Settlement_.pendingHosts().begin(), Settlement_.pendingHosts().end()};
 }
 
 } // namespace lychee::exchange
--- a/libs/exchange/ExchangeCodec.cpp
+++ b/libs/exchange/ExchangeCodec.cpp
@@ -254,24 +254,26 @@
       });
 }
 
-std::string ExchangeCodec::encode(const budget::Ask &From) {
+std::string ExchangeCodec::encode(const budget::ShareRequest &From) {
   Json::Value Made(Json::objectValue);
   Made["b"] = From.Budget_;
   Made["e"] = Json::Value(static_cast<Json::UInt64>(From.Epoch_));
-  Made["a"] = From.Asker_.name();
+  Made["a"] = From.Requester_.name();
   Made["r"] = number(From.Rate_);
   Made["t"] = number(From.Tokens_);
   return Codec::write(Made);
 }
 
-std::optional<budget::Ask> ExchangeCodec::decodeAsk(std::string_view Text) {
-  return decode<budget::Ask>(Text, [](ObjectReader &Reader, budget::Ask &Into) {
-    Into.Budget_ = Reader.text("b");
-    Into.Epoch_ = Reader.number("e");
-    Into.Asker_ = Reader.id<base::HostId>("a");
-    Into.Rate_ = Reader.amount("r");
-    Into.Tokens_ = Reader.amount("t");
-  });
+std::optional<budget::ShareRequest>
+ExchangeCodec::decodeAsk(std::string_view Text) {
+  return decode<budget::ShareRequest>(
+      Text, [](ObjectReader &Reader, budget::ShareRequest &Into) {
+        Into.Budget_ = Reader.text("b");
+        Into.Epoch_ = Reader.number("e");
+        Into.Requester_ = Reader.id<base::HostId>("a");
+        Into.Rate_ = Reader.amount("r");
+        Into.Tokens_ = Reader.amount("t");
+      });
 }
 
 std::string ExchangeCodec::encode(const budget::Transfer &From) {
--- a/libs/exchange/ExchangeCodec.h
+++ b/libs/exchange/ExchangeCodec.h
@@ -28,8 +28,8 @@
   static std::optional<steering::SlotGift>
   decodeSlotGift(std::string_view Text);
 
-  static std::string encode(const budget::Ask &From);
-  static std::optional<budget::Ask> decodeAsk(std::string_view Text);
+  static std::string encode(const budget::ShareRequest &From);
+  static std::optional<budget::ShareRequest> decodeAsk(std::string_view Text);
 
   static std::string encode(const budget::Transfer &From);
   static std::optional<budget::Transfer> decodeTransfer(std::string_view Text);
--- a/libs/exchange/ExchangeNode.cpp
+++ b/libs/exchange/ExchangeNode.cpp
@@ -141,7 +141,7 @@
     for (steering::SlotAsk &Each : Parts_.Steering_.slotAsks(Now))
       if (const auto Address = addressOf(Each.Donor_))
         spawn(askSlots(*Address, std::move(Each)));
-    for (const budget::Ask &Each : Parts_.Rates_.asksDue(Now))
+    for (const budget::ShareRequest &Each : Parts_.Rates_.dueRequests(Now))
       for (const base::HostId &Donor : Offers_.takeDonors(Each, Now, Random_))
         if (const auto Address = addressOf(Donor))
           spawn(askRate(*Address, Each));
@@ -227,7 +227,7 @@
 }
 
 asio::awaitable<void> ExchangeNode::askRate(std::string Address,
-                                            budget::Ask Asked) {
+                                            budget::ShareRequest Asked) {
   base::Error Ignored;
   const auto Answer =
       co_await Peers_.call(std::move(Address), RateMethod,
@@ -265,7 +265,7 @@
   const auto Asked = ExchangeCodec::decodeAsk(Text);
   if (!Asked)
     return malformed();
-  const auto Given = Parts_.Rates_.give(*Asked, SystemClock::monotonicNow());
+  const auto Given = Parts_.Rates_.donate(*Asked, SystemClock::monotonicNow());
   return {0, Given ? ExchangeCodec::encode(*Given) : Nothing};
 }
 
--- a/libs/exchange/ExchangeNode.h
+++ b/libs/exchange/ExchangeNode.h
@@ -2,7 +2,7 @@
 #define LYCHEE_EXCHANGE_EXCHANGENODE_H
 
 #include "base/Random.h"
-#include "budget/BudgetBook.h"
+#include "budget/RateBudgets.h"
 #include "exchange/EpochTracker.h"
 #include "exchange/HostReport.h"
 #include "exchange/SpareOfferTable.h"
@@ -27,7 +27,7 @@
 /// What the exchange moves, and whom it tells.
 struct ExchangeDependencies {
   steering::FleetSteering &Steering_;
-  budget::BudgetBook &Rates_;
+  budget::RateBudgets &Rates_;
   /// Takes decisions on requests that waited for the slots of a gift.
   std::function<void(std::vector<steering::Wakeup> &)> OnWakeups_;
   /// \returns until when this host's lease in \p Epoch stands; a time in the
@@ -41,7 +41,7 @@
 ///
 /// Costs of control are bounded: a report goes to at most FanOut peers at a
 /// time, the next one to the next, so that a host's messages do not grow with
-/// the fleet. \see budget::BudgetBook, steering::FleetSteering
+/// the fleet. \see budget::RateBudgets, steering::FleetSteering
 class ExchangeNode {
 public:
   /// Binds the exchange's methods to \p Handlers.
@@ -83,7 +83,7 @@
   Task reportLoop();
   Task tell(std::string Address, std::string Report);
   Task askSlots(std::string Address, steering::SlotAsk Asked);
-  Task askRate(std::string Address, budget::Ask Asked);
+  Task askRate(std::string Address, budget::ShareRequest Asked);
 
   void bind(fleet::RpcDispatcher &Handlers);
   fleet::RpcOutcome hearReport(const std::string &Text);
--- a/libs/exchange/HostReport.h
+++ b/libs/exchange/HostReport.h
@@ -1,7 +1,7 @@
 #ifndef LYCHEE_EXCHANGE_HOSTREPORT_H
 #define LYCHEE_EXCHANGE_HOSTREPORT_H
 
-#include "budget/BudgetBook.h"
+#include "budget/RateBudgets.h"
 #include "retrying/CrashSuspects.h"
 #include "steering/SlotMessages.h"
 
--- a/libs/exchange/SpareOfferTable.cpp
+++ b/libs/exchange/SpareOfferTable.cpp
@@ -25,9 +25,9 @@
     });
 }
 
-std::vector<base::HostId> SpareOfferTable::takeDonors(const budget::Ask &Asked,
-                                                      base::TimePoint Now,
-                                                      base::Random &Random) {
+std::vector<base::HostId>
+SpareOfferTable::takeDonors(const budget::ShareRequest &Asked,
+                            base::TimePoint Now, base::Random &Random) {
   const std::scoped_lock Guard(Lock_);
   const bool IsShort = Asked.Tokens_ > 0;
   const std::size_t Most = IsShort ? DonorsAtOnce : 1;
@@ -48,8 +48,9 @@
   return Donors;
 }
 
-std::optional<base::HostId> SpareOfferTable::takeBest(const budget::Ask &Asked,
-                                                      base::TimePoint Now) {
+std::optional<base::HostId>
+SpareOfferTable::takeBest(const budget::ShareRequest &Asked,
+                          base::TimePoint Now) {
   const auto Found = Offers_.find(Asked.Budget_);
   if (Found == Offers_.end())
     return std::nullopt;
--- a/libs/exchange/SpareOfferTable.h
+++ b/libs/exchange/SpareOfferTable.h
@@ -4,7 +4,7 @@
 #include "base/Id.h"
 #include "base/Random.h"
 #include "base/Time.h"
-#include "budget/BudgetBook.h"
+#include "budget/RateBudgets.h"
 
 #include <map>
 #include <mutex>
@@ -40,7 +40,7 @@
   /// where the rate is to grow; up to DonorsAtOnce where requests wait for
   /// tokens, drawn among all peers where too few have offered: the host that
   /// the callers have just left has told of nothing to spare yet.
-  std::vector<base::HostId> takeDonors(const budget::Ask &Asked,
+  std::vector<base::HostId> takeDonors(const budget::ShareRequest &Asked,
                                        base::TimePoint Now,
                                        base::Random &Random);
 
@@ -56,7 +56,7 @@
     base::TimePoint HeardAt_;
   };
 
-  std::optional<base::HostId> takeBest(const budget::Ask &Asked,
+  std::optional<base::HostId> takeBest(const budget::ShareRequest &Asked,
                                        base::TimePoint Now);
 
   mutable std::mutex Lock_;
--- a/libs/gateway/AcquireClaim.h
+++ b/libs/gateway/AcquireClaim.h
@@ -10,9 +10,9 @@
 class Worker;
 
 /// Asks the ClaimGate and waits for its answer, until \p Limit or until the
-/// caller hangs up; then the answer is StoreDown. A claim granted after that
-/// is given back: nothing ran under it, and left as it is the work could never
-/// run anywhere.
+/// caller hangs up; then the answer is StoreUnavailable. A claim granted after
+/// that is given back: nothing ran under it, and left as it is the work could
+/// never run anywhere.
 Task<ClaimAnswer> acquireClaim(Worker &Home, CallerConnection &Caller,
                                const ClaimRequest &Asked,
                                base::TimePoint Limit);
--- a/libs/gateway/CallerAnswer.cpp
+++ b/libs/gateway/CallerAnswer.cpp
@@ -170,7 +170,7 @@
   co_return KeepAlive ? Ending::KeepAlive : Ending::Close;
 }
 
-Task<Ending> CallerAnswer::relay(TargetSend &Send, steering::SendEnd &End) {
+Task<Ending> CallerAnswer::relay(TargetSend &Send, steering::SendOutcome &End) {
   const auto &Head = Send.answer().message();
   Status_ = static_cast<int>(Head.result_int());
   Outcome_ = "answer-cut";
@@ -178,7 +178,7 @@
   const Framing Body = framingOf(Send, false);
   const std::string Text =
       answerHeadFor(Head, {Id_.name(), Body, KeepAlive}, names());
-  End = steering::SendEnd::Cancelled;
+  End = steering::SendOutcome::Cancelled;
   bound();
   const std::array First{bufferOf(Text)};
   bool Written = co_await Caller_.write(First);
@@ -208,7 +208,7 @@
     }
     Piece.resize(Got);
   }
-  End = steering::SendEnd::Answered;
+  End = steering::SendOutcome::Answered;
   Outcome_ = "answered";
   const std::array Last{bufferOf(Body.Chunked_ ? LastChunk : "")};
   if (Body.Chunked_)
--- a/libs/gateway/CallerAnswer.h
+++ b/libs/gateway/CallerAnswer.h
@@ -49,7 +49,7 @@
 
   /// Passes on an answer piece by piece. \param End  becomes how the send to
   /// the target ended.
-  Task<Ending> relay(TargetSend &Send, steering::SendEnd &End);
+  Task<Ending> relay(TargetSend &Send, steering::SendOutcome &End);
 
   /// What the caller was told; 0 where it heard nothing.
   int status() const noexcept { return Status_; }
--- a/libs/gateway/Forwarding.cpp
+++ b/libs/gateway/Forwarding.cpp
@@ -45,7 +45,7 @@
 }
 
 bool provesNotRun(SendEnd End) noexcept {
-  return End == SendEnd::ConnectFailed || End == SendEnd::ClosedUnwritten ||
+  return End == SendEnd::ConnectFailed || End == SendEnd::ClosedBeforeWrite ||
          End == SendEnd::Shed;
 }
 
@@ -283,7 +283,7 @@
     Failed = SendEnd::Shed;
   // However the second send ended, the first one may have run.
   if (Failed && provesNotRun(*Failed))
-    Failed = SendEnd::LostUnanswered;
+    Failed = SendEnd::LostBeforeResponse;
   co_return Failed;
 }
 
--- a/libs/gateway/Forwarding.h
+++ b/libs/gateway/Forwarding.h
@@ -42,7 +42,7 @@
   Task<Ending> answer(TargetSend &Send, bool &Again);
   /// \returns the refusal where the key does not hold any more.
   std::optional<steering::Decision> recheckKey();
-  Task<Ending> handleFailure(TargetSend &Send, steering::SendEnd End,
+  Task<Ending> handleFailure(TargetSend &Send, steering::SendOutcome End,
                              bool &Again);
   Task<Ending> endCancelled(const TargetSend &Send);
   void finish(const steering::SendReport &Report);
--- a/libs/gateway/TargetSend.cpp
+++ b/libs/gateway/TargetSend.cpp
@@ -75,18 +75,18 @@
   const auto Where = parseTargetAddress(Pool_->address());
   Connection_ = Pool_->make(Home_.executor(), Home_.index());
   if (!Where)
-    co_return steering::SendEnd::ConnectFailed;
+    co_return steering::SendOutcome::ConnectFailed;
   // Its connections are all at work: it is full, as if it had said so itself.
   // Told as a failed connect it would count against the target's health.
   if (!Connection_)
-    co_return steering::SendEnd::Shed;
+    co_return steering::SendOutcome::Shed;
   bound(Home_.shared().Settings_.ConnectTimeout_);
   const auto [Error] =
       co_await Connection_->socket().async_connect(*Where, Await);
   if (Caller_.watch().fired())
     co_return failed();
   if (Error)
-    co_return steering::SendEnd::ConnectFailed;
+    co_return steering::SendOutcome::ConnectFailed;
   ErrorCode Ignored;
   Connection_->socket().set_option(Tcp::no_delay(true), Ignored);
   Connection_->showLife(base::SystemClock::monotonicNow());
@@ -238,7 +238,7 @@
   const bool Came = co_await skipForeign(End, WithoutBody);
   Caller_.watch().onExpiry({});
   if (!Came && Unusable_)
-    co_return steering::SendEnd::AnswerUnusable;
+    co_return steering::SendOutcome::ResponseInvalid;
   if (!Came) {
     const base::TimePoint Now = base::SystemClock::monotonicNow();
     const bool Expired = !AnswerSeen_ && Now < Deadline_ &&
@@ -294,15 +294,15 @@
     Pool_->closeOlderThan(FirstWrite_);
   if (Bound.cause() == Watch::Cause::HungUp ||
       (Bound.fired() && Now >= Deadline_))
-    return steering::SendEnd::Cancelled;
+    return steering::SendOutcome::Cancelled;
   if (AnswerSeen_)
-    return steering::SendEnd::AnswerCut;
+    return steering::SendOutcome::ResponseTruncated;
   if (RequestWhole_)
-    return steering::SendEnd::LostUnanswered;
+    return steering::SendOutcome::LostBeforeResponse;
   if (Written_ > 0)
-    return steering::SendEnd::LostPartlyWritten;
-  return Bound.fired() ? steering::SendEnd::ConnectFailed
-                       : steering::SendEnd::ClosedUnwritten;
+    return steering::SendOutcome::LostAfterPartialWrite;
+  return Bound.fired() ? steering::SendOutcome::ConnectFailed
+                       : steering::SendOutcome::ClosedBeforeWrite;
 }
 
 void TargetSend::release() {
@@ -319,7 +319,7 @@
   Connection_.reset();
 }
 
-steering::SendReport TargetSend::report(steering::SendEnd End) const {
+steering::SendReport TargetSend::report(steering::SendOutcome End) const {
   steering::SendReport Made;
   Made.End_ = End;
   if (Reader_ && AnswerSeen_)
--- a/libs/gateway/TargetSend.h
+++ b/libs/gateway/TargetSend.h
@@ -19,12 +19,12 @@
 
 /// One send of a request to a target: takes a connection, writes the request,
 /// reads the answer, and keeps account of how far it came, since that decides
-/// whether the request may be sent again. Steps that return a SendEnd have
+/// whether the request may be sent again. Steps that return a SendOutcome have
 /// failed by it. A connection goes back to its pool only after a whole answer
 /// with nothing after it; in any other case it is closed.
 class TargetSend {
 public:
-  using Failure = std::optional<steering::SendEnd>;
+  using Failure = std::optional<steering::SendOutcome>;
 
   /// \param Deadline  the request's; passing it ends the send as cancelled.
   TargetSend(Worker &Home, CallerConnection &Caller,
@@ -83,7 +83,7 @@
   void release();
 
   /// \returns how it went, for the steering.
-  steering::SendReport report(steering::SendEnd End) const;
+  steering::SendReport report(steering::SendOutcome End) const;
 
   /// \returns whether a byte of the request has been written.
   bool hasWritten() const noexcept { return Written_ > 0; }
--- a/libs/gateway/Worker.cpp
+++ b/libs/gateway/Worker.cpp
@@ -96,7 +96,8 @@
     for (const steering::Wakeup &Each : Unwanted)
       if (Each.Decision_.Action_ == steering::Decision::Action::Send)
         Shared_.Others_.Steering_.finish(
-            Each.Ticket_, {.End_ = steering::SendEnd::Cancelled}, Now, Woken);
+            Each.Ticket_, {.End_ = steering::SendOutcome::Cancelled}, Now,
+            Woken);
   }
 }
 
--- a/libs/retrying/ClaimTable.cpp
+++ b/libs/retrying/ClaimTable.cpp
@@ -35,15 +35,15 @@
   return true;
 }
 
-void ClaimTable::unload(std::vector<ClaimVerdict> &Told) {
+void ClaimTable::unload(std::vector<ClaimResult> &Told) {
   denyWaiting(ClaimAnswer::NotOwner, Told);
   Claims_.clear();
   Loaded_ = false;
   Writing_ = Writing::Idle;
 }
 
-ClaimVerdict ClaimTable::claim(const ClaimKey &Key, std::uint64_t Fingerprint,
-                               base::WallPoint Now) {
+ClaimResult ClaimTable::claim(const ClaimKey &Key, std::uint64_t Fingerprint,
+                              base::WallPoint Now) {
   if (!Loaded_)
     return {ClaimAnswer::NotOwner, Key, 0, 0};
   const auto Known = Claims_.find(Key);
@@ -64,11 +64,11 @@
   return {ClaimAnswer::Pending, Key, Fresh.Record_.Grant_, 0};
 }
 
-ClaimVerdict ClaimTable::answerKnown(Claim &Known, std::uint64_t Fingerprint,
-                                     base::WallPoint Now) {
+ClaimResult ClaimTable::answerKnown(Claim &Known, std::uint64_t Fingerprint,
+                                    base::WallPoint Now) {
   const ClaimRecord &Record = Known.Record_;
   if (Record.Fingerprint_ != Fingerprint)
-    return {ClaimAnswer::OtherRequest, Record.Key_, 0, 0};
+    return {ClaimAnswer::KeyReused, Record.Key_, 0, 0};
   if (Known.Phase_ == Phase::Done)
     return {ClaimAnswer::AlreadyRun, Record.Key_, 0, Record.Status_};
   if (Known.Phase_ != Phase::Free)
@@ -104,7 +104,7 @@
 }
 
 void ClaimTable::written(std::uint64_t Version,
-                         std::vector<ClaimVerdict> &Told) {
+                         std::vector<ClaimResult> &Told) {
   assert(Writing_ == Writing::UnderWay && "a write ends once");
   Writing_ = Writing::Idle;
   Version_ = Version;
@@ -113,10 +113,10 @@
       grant(Each, Told);
 }
 
-void ClaimTable::failed(std::vector<ClaimVerdict> &Told) {
+void ClaimTable::failed(std::vector<ClaimResult> &Told) {
   assert(Writing_ == Writing::UnderWay && "a write ends once");
   Writing_ = Writing::Idle;
-  denyWaiting(ClaimAnswer::StoreDown, Told);
+  denyWaiting(ClaimAnswer::StoreUnavailable, Told);
 }
 
 void ClaimTable::inDoubt() noexcept {
@@ -125,7 +125,7 @@
 }
 
 void ClaimTable::readBack(const ClaimObject &Read,
-                          std::vector<ClaimVerdict> &Told) {
+                          std::vector<ClaimResult> &Told) {
   assert(Writing_ == Writing::InDoubt && "only a write in doubt is read back");
   // Unchanged: the write has not taken effect, and may yet. The next group
   // expects the same version, so at most one of the two does.
@@ -178,7 +178,7 @@
   --Queued_;
 }
 
-void ClaimTable::grant(Claim &Written, std::vector<ClaimVerdict> &Told) {
+void ClaimTable::grant(Claim &Written, std::vector<ClaimResult> &Told) {
   if (Written.Cancelled_) {
     Written.Cancelled_ = false;
     Written.Phase_ = Phase::Free;
@@ -199,7 +199,7 @@
 }
 
 void ClaimTable::denyWaiting(ClaimAnswer Answer,
-                             std::vector<ClaimVerdict> &Told) {
+                             std::vector<ClaimResult> &Told) {
   std::erase_if(Claims_, [Answer, &Told](const auto &Each) {
     const Phase Stands = Each.second.Phase_;
     if (Stands != Phase::Queued && Stands != Phase::Writing)
--- a/libs/retrying/ClaimTable.h
+++ b/libs/retrying/ClaimTable.h
@@ -2,7 +2,7 @@
 #define LYCHEE_RETRYING_CLAIMTABLE_H
 
 #include "retrying/Claim.h"
-#include "retrying/SendVerdict.h"
+#include "retrying/RetryVerdict.h"
 
 #include <optional>
 #include <string_view>
@@ -11,7 +11,7 @@
 namespace lychee::retrying {
 
 /// What a claim came to.
-enum class ClaimAnswer : std::uint8_t {
+enum class ClaimOutcome : std::uint8_t {
   /// Will be told once its group is written. \see ClaimTable::written
   Pending,
   /// Run it: no one else ever was, or will be, let run it unless it is proven
@@ -22,18 +22,18 @@
   /// Another send of it was let run and has not told its end. May have run.
   MayHaveRun,
   /// The same idempotency key stands for another request.
-  OtherRequest,
+  KeyReused,
   /// The table holds as many claims as it may. Not run.
   Full,
   /// This host does not own the partition, or was replaced. Not run.
   NotOwner,
   /// The store did not take the claim. Not run.
-  StoreDown,
+  StoreUnavailable,
 };
 
 /// A claim's answer.
-struct ClaimVerdict {
-  ClaimAnswer Answer_ = ClaimAnswer::NotOwner;
+struct ClaimResult {
+  ClaimAnswer Outcome_ = ClaimAnswer::NotOwner;
   ClaimKey Key_;
   /// Names the permission in finish() and cancel(); 0 where there is none.
   std::uint64_t Grant_ = 0;
@@ -88,24 +88,24 @@
   bool load(const ClaimObject &Read, std::uint64_t Epoch);
 
   /// Gives the partition up; what waits is told NotOwner.
-  void unload(std::vector<ClaimVerdict> &Told);
+  void unload(std::vector<ClaimResult> &Told);
 
   bool isLoaded() const noexcept { return Loaded_; }
 
   /// Asks to run a request. An answer that is Pending comes later, by one of
   /// the functions with a \p Told.
-  ClaimVerdict claim(const ClaimKey &Key, std::uint64_t Fingerprint,
-                     base::WallPoint Now);
+  ClaimResult claim(const ClaimKey &Key, std::uint64_t Fingerprint,
+                    base::WallPoint Now);
 
   /// \returns the group to be written now, if any: none while one is under
   /// way, in doubt, or while nothing new waits.
   std::optional<ClaimObject> planWrite(base::WallPoint Now);
 
   /// The planned write took effect.
-  void written(std::uint64_t Version, std::vector<ClaimVerdict> &Told);
+  void written(std::uint64_t Version, std::vector<ClaimResult> &Told);
 
   /// It certainly did not, and its version was still right: store down.
-  void failed(std::vector<ClaimVerdict> &Told);
+  void failed(std::vector<ClaimResult> &Told);
 
   /// Its answer was lost, or it met another version: what stands in the store
   /// must be read. No claim is answered and none written until readBack().
@@ -116,7 +116,7 @@
   /// What stands in the store after a write in doubt. Where this owner wrote
   /// it last, the claims in it are granted and the others wait for the next
   /// group; where another did, this owner has been replaced.
-  void readBack(const ClaimObject &Read, std::vector<ClaimVerdict> &Told);
+  void readBack(const ClaimObject &Read, std::vector<ClaimResult> &Told);
 
   /// The holder of \p Grant tells how it ended. Ran::No frees the claim for
   /// another try, Ran::Maybe leaves it as it is.
@@ -151,11 +151,11 @@
 
   using Claims = std::unordered_map<ClaimKey, Claim>;
 
-  ClaimVerdict answerKnown(Claim &Known, std::uint64_t Fingerprint,
-                           base::WallPoint Now);
-  void grant(Claim &Written, std::vector<ClaimVerdict> &Told);
+  ClaimResult answerKnown(Claim &Known, std::uint64_t Fingerprint,
+                          base::WallPoint Now);
+  void grant(Claim &Written, std::vector<ClaimResult> &Told);
   void forgetOld(base::WallPoint Now);
-  void denyWaiting(ClaimAnswer Answer, std::vector<ClaimVerdict> &Told);
+  void denyWaiting(ClaimAnswer Answer, std::vector<ClaimResult> &Told);
   bool hasWork(base::WallPoint Now) const noexcept;
 
   Limits Limits_;
--- a/libs/retrying/CrashSuspects.cpp
+++ b/libs/retrying/CrashSuspects.cpp
@@ -6,12 +6,13 @@
 
 namespace lychee::retrying {
 
-void CrashSuspects::lost(std::uint64_t Fingerprint,
-                         const base::TargetId &Target, base::TimePoint Now) {
+void CrashSuspects::recordTargetLoss(std::uint64_t Fingerprint,
+                                     const base::TargetId &Target,
+                                     base::TimePoint Now) {
   add(Fingerprint, {base::stableHash(Target.name()), Now});
 }
 
-void CrashSuspects::answered(std::uint64_t Fingerprint) {
+void CrashSuspects::recordResponse(std::uint64_t Fingerprint) {
   if (Count_.load(std::memory_order_relaxed) == 0)
     return;
   Shard &Home = shardOf(Fingerprint);
--- a/libs/retrying/CrashSuspects.h
+++ b/libs/retrying/CrashSuspects.h
@@ -56,11 +56,11 @@
 
   /// A target was lost (its connection reset or ended, not merely silent)
   /// with the request in flight.
-  void lost(std::uint64_t Fingerprint, const base::TargetId &Target,
-            base::TimePoint Now);
+  void recordTargetLoss(std::uint64_t Fingerprint, const base::TargetId &Target,
+                        base::TimePoint Now);
 
   /// A target answered the request: it does not crash targets.
-  void answered(std::uint64_t Fingerprint);
+  void recordResponse(std::uint64_t Fingerprint);
 
   /// \returns when the request stops being suspect; \p Now where it is not.
   base::TimePoint suspectUntil(std::uint64_t Fingerprint,
--- a/libs/retrying/RetryBudget.h
+++ b/libs/retrying/RetryBudget.h
@@ -38,7 +38,7 @@
   explicit RetryBudget(const Limits &Set) noexcept
       : Limits_(Set), Tokens_(inMicrotokens(Set.Most_)) {}
 
-  void succeeded() noexcept { earn(Limits_.EarnedBySuccess_); }
+  void recordSuccess() noexcept { earn(Limits_.EarnedBySuccess_); }
 
   /// \returns true and takes one token where there is one.
   bool spend(base::TimePoint Now) noexcept;
--- a/libs/retrying/SendVerdict.cpp
+++ b/libs/retrying/RetryVerdict.cpp
@@ -1,4 +1,4 @@
-#include "retrying/SendVerdict.h"
+#include "retrying/RetryVerdict.h"
 
 #include <array>
 
@@ -12,7 +12,7 @@
   bool Cancelled_;
 };
 
-/// In the order of SendEnd.
+/// In the order of SendOutcome.
 constexpr std::array<EndRow, SendEndCount> EndRows = {{
     {"answered", Ran::Yes, false},
     {"shed", Ran::No, false},
@@ -45,14 +45,14 @@
 
 } // namespace
 
-SendVerdict judgeSend(const SendFacts &Facts) noexcept {
+RetryVerdict evaluateRetry(const SendFacts &Facts) noexcept {
   const EndRow &Row = rowOf(Facts.End_);
-  SendVerdict Verdict;
+  RetryVerdict Verdict;
   // Bytes of an answer prove that the target began to work, whatever the
   // connection did afterwards.
   Verdict.Ran_ =
       Facts.AnswerStarted_ && Row.Ran_ == Ran::No ? Ran::Maybe : Row.Ran_;
-  Verdict.Resend_ = resendRule(Row, Facts);
+  Verdict.Retry_ = resendRule(Row, Facts);
   return Verdict;
 }
 
--- a/libs/retrying/SendVerdict.h
+++ b/libs/retrying/RetryVerdict.h
@@ -1,5 +1,5 @@
-#ifndef LYCHEE_RETRYING_SENDVERDICT_H
-#define LYCHEE_RETRYING_SENDVERDICT_H
+#ifndef LYCHEE_RETRYING_RETRYVERDICT_H
+#define LYCHEE_RETRYING_RETRYVERDICT_H
 
 #include <cstdint>
 #include <string_view>
@@ -7,35 +7,35 @@
 namespace lychee::retrying {
 
 /// The point at which a send to a target ended.
-enum class SendEnd : std::uint8_t {
+enum class SendOutcome : std::uint8_t {
   Answered,
   /// The target answered that it did not run the request (503 with its mark).
   Shed,
   ConnectFailed,
   /// The connection ended before one byte of the request was written.
-  ClosedUnwritten,
+  ClosedBeforeWrite,
   /// It ended, or went silent, after the request was written in part.
-  LostPartlyWritten,
+  LostAfterPartialWrite,
   /// It ended or went silent after the whole request, before any answer.
-  LostUnanswered,
+  LostBeforeResponse,
   /// The answer was cut short of its length.
-  AnswerCut,
+  ResponseTruncated,
   /// The answer cannot be this request's: malformed, or sent before it.
-  AnswerUnusable,
+  ResponseInvalid,
   /// The caller hung up, or its deadline passed, before one byte was written.
-  CancelledUnwritten,
+  CancelledBeforeWrite,
   /// The caller hung up, or its deadline passed, after that.
   Cancelled,
 };
 
-/// Every SendEnd, for tables and tests.
+/// Every SendOutcome, for tables and tests.
 inline constexpr std::uint8_t SendEndCount = 10;
 
 /// Whether a request may have run at the target it was sent to.
 enum class Ran : std::uint8_t { No, Maybe, Yes };
 
 /// What the rules allow after a send.
-enum class Resend : std::uint8_t {
+enum class RetryRule : std::uint8_t {
   /// It ended as it should: nothing to send.
   NotNeeded,
   /// It provably did not run: any request may be sent again.
@@ -60,17 +60,17 @@
 };
 
 /// Whether a request has run and whether it may be sent again.
-struct SendVerdict {
+struct RetryVerdict {
   Ran Ran_ = Ran::Maybe;
-  Resend Resend_ = Resend::ForbiddenMayHaveRun;
+  Resend Retry_ = Resend::ForbiddenMayHaveRun;
 
   /// \returns true where the rules allow another send. It still needs a token
   /// of the RetryBudget, time before its deadline and another target.
-  constexpr bool mayResend() const noexcept {
-    return Resend_ == Resend::Allowed || Resend_ == Resend::AllowedAsIdempotent;
+  constexpr bool mayRetry() const noexcept {
+    return Retry_ == Resend::Allowed || Retry_ == Resend::AllowedAsIdempotent;
   }
 
-  bool operator==(const SendVerdict &) const = default;
+  bool operator==(const RetryVerdict &) const = default;
 };
 
 /// The truth table of sends. Pure, so that it can be tested row by row.
@@ -82,7 +82,7 @@
 /// a target may act on headers or on the first part of a body.
 ///
 /// Thread-safe: no state.
-SendVerdict judgeSend(const SendFacts &Facts) noexcept;
+RetryVerdict evaluateRetry(const SendFacts &Facts) noexcept;
 
 /// \returns the name that stands in log lines.
 std::string_view nameOf(SendEnd End) noexcept;
--- a/libs/scenario/BaselineSteering.cpp
+++ b/libs/scenario/BaselineSteering.cpp
@@ -97,10 +97,10 @@
   if (Found == Sent_.end())
     return {};
   Sent &Failed = Found->second;
-  using End = steering::SendEnd;
+  using End = steering::SendOutcome;
   const bool NotRun = Report.End_ == End::Shed ||
                       Report.End_ == End::ConnectFailed ||
-                      Report.End_ == End::ClosedUnwritten;
+                      Report.End_ == End::ClosedBeforeWrite;
   Failed.MayHaveRun_ = Failed.MayHaveRun_ || !NotRun;
   const bool Safe = NotRun || Failed.Request_.Idempotent_;
   const bool TimeLeft =
--- a/libs/scenario/Engine.h
+++ b/libs/scenario/Engine.h
@@ -83,7 +83,7 @@
   void send(std::size_t Host, const RequestPointer &Asked,
             const steering::Decision &Taken);
   void endSend(std::size_t Host, std::uint32_t Process, std::uint64_t Send,
-               steering::SendEnd End);
+               steering::SendOutcome End);
   void wake(std::size_t Host, const std::vector<steering::Wakeup> &Woken);
   void countLetIn(CallerRequest &Asked, const steering::Decision &Taken);
   steering::Request steeringRequest(const CallerRequest &Asked) const;
--- a/libs/scenario/EngineHosts.cpp
+++ b/libs/scenario/EngineHosts.cpp
@@ -90,7 +90,7 @@
   Job.Work_ = Cold ? base::fromSeconds(base::toSeconds(Asked->Work_) *
                                        Played_.ColdFactor_)
                    : Asked->Work_;
-  Job.Done_ = [this, Host, Process, Send, Delay](steering::SendEnd End) {
+  Job.Done_ = [this, Host, Process, Send, Delay](steering::SendOutcome End) {
     Events_.after(Delay, [this, Host, Process, Send, End] {
       endSend(Host, Process, Send, End);
     });
@@ -103,10 +103,10 @@
   const base::Duration Left = Asked->Deadline_ - Events_.now();
   Events_.after(Left / 2, [this, Host, Process, Send, Place] {
     if (Targets_[Place].Fake_->down())
-      endSend(Host, Process, Send, steering::SendEnd::LostUnanswered);
+      endSend(Host, Process, Send, steering::SendOutcome::LostBeforeResponse);
   });
   Events_.at(Asked->Deadline_, [this, Host, Process, Send] {
-    endSend(Host, Process, Send, steering::SendEnd::Cancelled);
+    endSend(Host, Process, Send, steering::SendOutcome::Cancelled);
   });
 }
 
@@ -136,7 +136,7 @@
 }
 
 void Engine::endSend(std::size_t Host, std::uint32_t Process,
-                     std::uint64_t Send, steering::SendEnd End) {
+                     std::uint64_t Send, steering::SendOutcome End) {
   PlayedHost &From = Hosts_[Host];
   const auto Found = From.Sends_.find(Send);
   if (From.Process_ != Process || Found == From.Sends_.end())
@@ -145,14 +145,14 @@
   From.Sends_.erase(Found);
   PlayedTarget &Target = Targets_[Ended.Target_];
   leaveTarget(Target);
-  if (End == steering::SendEnd::Cancelled ||
-      End == steering::SendEnd::LostUnanswered)
+  if (End == steering::SendOutcome::Cancelled ||
+      End == steering::SendOutcome::LostBeforeResponse)
     Target.Fake_->abandon(Send);
   note(*Ended.Request_, "target=" + Target.Intent_.Id_.name() +
                             " ended=" + std::to_string(static_cast<int>(End)));
   steering::SendReport Report;
   Report.End_ = End;
-  Report.Status_ = End == steering::SendEnd::Answered ? 200 : 0;
+  Report.Status_ = End == steering::SendOutcome::Answered ? 200 : 0;
   Report.Took_ = Events_.now() - Ended.Began_;
   std::vector<steering::Wakeup> Woken;
   const steering::Decision Next =
--- a/libs/scenario/FakeTarget.cpp
+++ b/libs/scenario/FakeTarget.cpp
@@ -12,11 +12,11 @@
 
 void FakeTarget::accept(TargetJob Job, base::Random &Source) {
   if (Down_ || load() >= Connections_)
-    return Job.Done_(steering::SendEnd::ConnectFailed);
+    return Job.Done_(steering::SendOutcome::ConnectFailed);
   if (Silent_)
     return;
   if (Sheds_ > 0 && base::drawUnit(Source) < Sheds_)
-    return Job.Done_(steering::SendEnd::Shed);
+    return Job.Done_(steering::SendOutcome::Shed);
   if (Running_.size() < Slots_)
     return begin(std::move(Job));
   Queue_.push_back(std::move(Job));
@@ -39,7 +39,7 @@
   std::ranges::move(Queue_, std::back_inserter(Lost));
   Queue_.clear();
   for (const TargetJob &Job : Lost)
-    Job.Done_(steering::SendEnd::LostUnanswered);
+    Job.Done_(steering::SendOutcome::LostBeforeResponse);
 }
 
 void FakeTarget::begin(TargetJob Job) {
@@ -62,7 +62,7 @@
   const TargetJob Ended = std::move(*Found);
   Running_.erase(Found);
   if (!Silent_)
-    Ended.Done_(steering::SendEnd::Answered);
+    Ended.Done_(steering::SendOutcome::Answered);
   beginNext();
 }
 
--- a/libs/scenario/FakeTarget.h
+++ b/libs/scenario/FakeTarget.h
@@ -17,7 +17,7 @@
   std::uint64_t Send_ = 0;
   std::shared_ptr<CallerRequest> Request_;
   base::Duration Work_{};
-  std::function<void(steering::SendEnd)> Done_;
+  std::function<void(steering::SendOutcome)> Done_;
 };
 
 /// A small fake of a target: slots, a queue before them, and the faults of
--- a/libs/scenario/FleetStrategy.cpp
+++ b/libs/scenario/FleetStrategy.cpp
@@ -26,7 +26,7 @@
   Settings.Seed_ = Seed_ * 1000 + Host;
   if (Rules_.OneLine_)
     Settings.Limits_ = firstComeFirstServed();
-  Rates_[Host] = std::make_unique<budget::BudgetBook>(Settings.Host_);
+  Rates_[Host] = std::make_unique<budget::RateBudgets>(Settings.Host_);
   Settings.Rates_ = Rates_[Host].get();
   Hosts_[Host] = std::make_unique<steering::FleetSteering>(Settings);
   if (Rules_.LocalOnly_ || Rules_.OneLine_)
@@ -40,8 +40,8 @@
 steering::ServiceLimits FleetStrategy::firstComeFirstServed() {
   constexpr base::Duration Never = std::chrono::hours(1);
   steering::ServiceLimits Limits;
-  Limits.Line_.PressureMemory_ = Never;
-  Limits.Line_.ShortWait_ = Never;
+  Limits.Line_.SaturationWindow_ = Never;
+  Limits.Line_.SaturatedMaxWait_ = Never;
   Limits.Line_.NewestFirst_ = false;
   return Limits;
 }
@@ -145,7 +145,7 @@
 }
 
 void FleetStrategy::exchangeRates(std::size_t From, base::TimePoint Now) {
-  for (const budget::Ask &Ask : Rates_[From]->asksDue(Now)) {
+  for (const budget::ShareRequest &Ask : Rates_[From]->dueRequests(Now)) {
     std::optional<std::size_t> Donor;
     budget::SpareOffer Best;
     for (std::size_t Peer = 0; Peer < Hosts_.size(); ++Peer) {
@@ -171,8 +171,9 @@
 }
 
 void FleetStrategy::giveRate(std::size_t Donor, std::size_t Asker,
-                             const budget::Ask &Ask, base::TimePoint Now) {
-  const auto Given = Rates_[Donor]->give(Ask, Now);
+                             const budget::ShareRequest &Ask,
+                             base::TimePoint Now) {
+  const auto Given = Rates_[Donor]->donate(Ask, Now);
   if (Given)
     Peers_.Send_(Donor, Asker, [this, Asker, Transfer = *Given, Now] {
       Rates_[Asker]->accept(Transfer, Now);
--- a/libs/scenario/FleetStrategy.h
+++ b/libs/scenario/FleetStrategy.h
@@ -54,8 +54,8 @@
   void giveSlots(std::size_t Donor, std::size_t Asker,
                  const steering::SlotAsk &Ask, base::TimePoint Now);
   void exchangeRates(std::size_t From, base::TimePoint Now);
-  void giveRate(std::size_t Donor, std::size_t Asker, const budget::Ask &Ask,
-                base::TimePoint Now);
+  void giveRate(std::size_t Donor, std::size_t Asker,
+                const budget::ShareRequest &Ask, base::TimePoint Now);
   void changeMembers(base::TimePoint Now);
   void settle(base::TimePoint Now);
   static steering::ServiceLimits firstComeFirstServed();
@@ -64,7 +64,7 @@
   const FleetRules Rules_;
   PeerNetwork Peers_;
   std::uint64_t Seed_ = 0;
-  std::vector<std::unique_ptr<budget::BudgetBook>> Rates_;
+  std::vector<std::unique_ptr<budget::RateBudgets>> Rates_;
   std::vector<std::unique_ptr<steering::FleetSteering>> Hosts_;
   /// What callers meet where the rules take a part away; else empty.
   std::vector<std::unique_ptr<PlainSteering>> Plain_;
--- a/libs/scenario/PlainSteering.h
+++ b/libs/scenario/PlainSteering.h
@@ -1,7 +1,7 @@
 #ifndef LYCHEE_SCENARIO_PLAINSTEERING_H
 #define LYCHEE_SCENARIO_PLAINSTEERING_H
 
-#include "budget/BudgetBook.h"
+#include "budget/RateBudgets.h"
 #include "steering/Steering.h"
 
 namespace lychee::scenario {
@@ -16,7 +16,7 @@
   /// \param Rates  checks customers' rates where all wait in one line, as the
   /// inner steering knows one customer only; else null.
   PlainSteering(steering::Steering &Inner, bool LocalOnly,
-                budget::BudgetBook *Rates)
+                budget::RateBudgets *Rates)
       : Inner_(Inner), LocalOnly_(LocalOnly), Rates_(Rates) {}
 
   steering::Decision arrive(const steering::Request &Arrived,
@@ -38,7 +38,7 @@
 private:
   steering::Steering &Inner_;
   const bool LocalOnly_;
-  budget::BudgetBook *const Rates_;
+  budget::RateBudgets *const Rates_;
 };
 
 } // namespace lychee::scenario
--- a/libs/steering/FleetSteering.cpp
+++ b/libs/steering/FleetSteering.cpp
@@ -12,7 +12,7 @@
   /// A customer that is told to come back later than this is told this.
   constexpr base::Duration LongestRetryAfter = std::chrono::seconds(60);
   return {Spent.Result_ == budget::SpendResult::Granted,
-          std::min(Spent.RefillsIn_, LongestRetryAfter)};
+          std::min(Spent.RefillTime_, LongestRetryAfter)};
 }
 
 } // namespace
@@ -184,7 +184,7 @@
     Context.RateAgain_ = [this](const base::CustomerId &Customer,
                                 base::TimePoint Now) {
       return rateCheckOf(
-          Settings_.Rates_->spendAgain(rateBudget(Customer), Now));
+          Settings_.Rates_->retrySpend(rateBudget(Customer), Now));
     };
   return Context;
 }
--- a/libs/steering/FleetSteering.h
+++ b/libs/steering/FleetSteering.h
@@ -1,7 +1,7 @@
 #ifndef LYCHEE_STEERING_FLEETSTEERING_H
 #define LYCHEE_STEERING_FLEETSTEERING_H
 
-#include "budget/BudgetBook.h"
+#include "budget/RateBudgets.h"
 #include "settings/Intent.h"
 #include "steering/RateTable.h"
 #include "steering/ServiceSteering.h"
@@ -23,7 +23,7 @@
   /// This host's shares of customers' rates, which its owner exchanges with
   /// peers and which outlives the steering. Without one, setRateShare says what
   /// part of each rate this host may give out.
-  budget::BudgetBook *Rates_ = nullptr;
+  budget::RateBudgets *Rates_ = nullptr;
 };
 
 /// The steering of one host of the fleet: the operators' intent, this host's
@@ -47,7 +47,7 @@
   /// Tells what time of day it is, by which shift plans run.
   void setWallTime(base::WallPoint Wall, base::TimePoint Now);
 
-  /// \returns the budget of a customer's rate in BudgetBook.
+  /// \returns the budget of a customer's rate in RateBudgets.
   static std::string rateBudget(const base::CustomerId &Customer) {
     return "rate/" + Customer.name();
   }
--- a/libs/steering/RegionPool.cpp
+++ b/libs/steering/RegionPool.cpp
@@ -40,7 +40,7 @@
   refreshShares();
   // A customer that is gone keeps its number: requests of it may still wait.
   for (const auto &[Id, Customer] : Intent.Customers_)
-    Customers_[Id] = Line_.enrol(Id, Customer.Weight_);
+    Customers_[Id] = Line_.registerCustomer(Id, Customer.Weight_);
 }
 
 std::optional<admission::CustomerIndex>
@@ -167,7 +167,7 @@
     return;
   addRecalls(Asks, Now);
   std::uint32_t Missing =
-      static_cast<std::uint32_t>(Line_.waiting()) + std::exchange(Wanted_, 0);
+      static_cast<std::uint32_t>(Line_.queued()) + std::exchange(Wanted_, 0);
   base::HostId Donor;
   while (Missing > 0) {
     Peer *Best = bestDonor(Now, Donor);
@@ -216,7 +216,7 @@
   const std::uint32_t Free = spare(Now);
   if (goesFirst(Asked))
     return std::min(Asked.Slots_, Free);
-  if (Line_.waiting() > 0)
+  if (Line_.queued() > 0)
     return 0;
   if (Asked.AskerRegion_ == Region_)
     return std::min(Asked.Slots_, (Free + 1) / 2);
--- a/libs/steering/ServicePlacement.cpp
+++ b/libs/steering/ServicePlacement.cpp
@@ -82,7 +82,7 @@
     // Where slots are divided, those that this host holds there are its part
     // of the region's headroom.
     Option.Headroom_ = Pool->divides() || hasHeadroom(*Pool, Now);
-    if (Option.Headroom_ && Pool->line().waiting() == 0)
+    if (Option.Headroom_ && Pool->line().queued() == 0)
       Place.Choice_ = choose(*Pool, Wanted, Now);
     Option.Room_ = Place.Choice_.Target_.has_value();
     const bool WorthIt =
@@ -103,7 +103,7 @@
 void ServiceSteering::spillWaiting(base::TimePoint Now,
                                    std::vector<Wakeup> &Woken) {
   for (const auto &[HomeId, Home] : Pools_) {
-    if (Home->line().waiting() == 0)
+    if (Home->line().queued() == 0)
       continue;
     std::vector<RegionPool *> Others;
     for (const auto &[Id, Pool] : Pools_)
@@ -125,23 +125,23 @@
   const base::Duration WorthIt = placement::RegionChooser::WaitFactor *
                                  roundTrip(Home.region(), Other.region());
   const auto Wait = [&] {
-    return Home.line().expectedWork() * Home.line().waiting() /
+    return Home.line().expectedWork() * Home.line().queued() /
            std::max(1U, Home.line().running());
   };
-  std::vector<admission::GivenUp> Left;
-  while (Wait() > WorthIt && Other.line().waiting() == 0) {
+  std::vector<admission::DroppedRequest> Left;
+  while (Wait() > WorthIt && Other.line().queued() == 0) {
     if (!Other.divides() && !hasHeadroom(Other, Now))
       break;
     Found Where{&Other, Other.targets().choose({}, Now, Random_)};
     if (!Where.Choice_.Target_)
       break;
-    const auto Next = Home.line().next(Now, Left);
+    const auto Next = Home.line().dequeue(Now, Left);
     if (!Next)
       break;
     Pending &First = Pending_.at(Next->Ticket_);
     // It waited here and will run there: this line is charged nothing.
-    Home.line().finished(Next->Customer_, Next->Caller_, Next->Work_, {}, false,
-                         Now);
+    Home.line().recordCompletion(Next->Customer_, Next->Caller_, Next->Work_,
+                                 {}, false, Now);
     const auto Verdict =
         enterElsewhere(Next->Ticket_, First, Where, Now, "spill-waited");
     Woken.push_back({Next->Ticket_, Verdict});
@@ -150,8 +150,8 @@
   }
   giveUp(Left, Woken);
   if (Other.divides() && Wait() > WorthIt)
-    Other.want(static_cast<std::uint32_t>(
-        std::min(MostWanted, Home.line().waiting())));
+    Other.want(
+        static_cast<std::uint32_t>(std::min(MostWanted, Home.line().queued())));
 }
 
 } // namespace lychee::steering
--- a/libs/steering/ServiceRates.cpp
+++ b/libs/steering/ServiceRates.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// An ask interval of BudgetBook (50 ms) and a round trip between regions
+/// An ask interval of RateBudgets (50 ms) and a round trip between regions
 /// (40 ms): after this, the peers have no tokens either.
 constexpr base::Duration LongestRateWait = std::chrono::milliseconds(100);
 /// Requests of one customer that wait so at one host: what a share of 160
--- a/libs/steering/ServiceShifting.cpp
+++ b/libs/steering/ServiceShifting.cpp
@@ -94,7 +94,7 @@
     return false;
   if (!Pool->divides())
     return hasHeadroom(*Pool, Now);
-  if (Pool->spare(Now) > 0 && Pool->line().waiting() == 0)
+  if (Pool->spare(Now) > 0 && Pool->line().queued() == 0)
     return true;
   // The slot comes for the next request of a moved caller.
   Pool->want(1);
--- a/libs/steering/ServiceSteering.cpp
+++ b/libs/steering/ServiceSteering.cpp
@@ -17,13 +17,13 @@
 /// own length refuses at ordinary load what waits for one slot to end.
 constexpr int ShortWaitInWorks = 10;
 
-using AdmissionAction = admission::AdmissionVerdict::Action;
+using AdmissionAction = admission::AdmissionDecision::Action;
 
 Refusal refusalOf(admission::Cause Cause) noexcept {
   switch (Cause) {
   case admission::Cause::None:
     return Refusal::None;
-  case admission::Cause::OverRate:
+  case admission::Cause::RateLimited:
     return Refusal::OverRate;
   case admission::Cause::DeadlineTooShort:
     return Refusal::DeadlineTooShort;
@@ -31,7 +31,7 @@
   case admission::Cause::QueueFull:
   case admission::Cause::Saturated:
     return Refusal::QueueFull;
-  case admission::Cause::DeadlinePassed:
+  case admission::Cause::DeadlineExceeded:
     return Refusal::DeadlinePassed;
   }
   return Refusal::QueueFull;
@@ -45,24 +45,24 @@
   constexpr int TellingWaits = 5;
   constexpr int FirstServerError = 500;
   switch (Report.End_) {
-  case SendEnd::Answered:
+  case SendOutcome::Answered:
     return Report.Status_ >= FirstServerError ? placement::Outcome::Faulty
                                               : placement::Outcome::Good;
-  case SendEnd::Shed:
+  case SendOutcome::Shed:
     return placement::Outcome::Shed;
-  case SendEnd::ConnectFailed:
-  case SendEnd::LostPartlyWritten:
-  case SendEnd::LostUnanswered:
+  case SendOutcome::ConnectFailed:
+  case SendOutcome::LostAfterPartialWrite:
+  case SendOutcome::LostBeforeResponse:
     return placement::Outcome::Unreachable;
-  case SendEnd::AnswerCut:
-  case SendEnd::AnswerUnusable:
+  case SendOutcome::ResponseTruncated:
+  case SendOutcome::ResponseInvalid:
     return placement::Outcome::Faulty;
-  case SendEnd::Cancelled:
+  case SendOutcome::Cancelled:
     return Report.Took_ > ExpectedWork * TellingWaits
                ? placement::Outcome::Faulty
                : placement::Outcome::Cancelled;
-  case SendEnd::ClosedUnwritten:
-  case SendEnd::CancelledUnwritten:
+  case SendOutcome::ClosedBeforeWrite:
+  case SendOutcome::CancelledBeforeWrite:
     // A target may close an idle connection at any time.
     return placement::Outcome::Cancelled;
   }
@@ -94,8 +94,9 @@
     admission::AdmissionControl::Limits Limits = Context_.Limits_.Line_;
     if (Known != Intent.Services_.end()) {
       Limits.ExpectedWork_ = Known->second.ExpectedWork_;
-      Limits.ShortWait_ = std::max(
-          Limits.ShortWait_, ShortWaitInWorks * Known->second.ExpectedWork_);
+      Limits.SaturatedMaxWait_ =
+          std::max(Limits.SaturatedMaxWait_,
+                   ShortWaitInWorks * Known->second.ExpectedWork_);
       std::ranges::copy_if(
           Known->second.Targets_, std::back_inserter(Here),
           [&Zones = Region.Zones_](const settings::Target &Target) {
@@ -152,7 +153,7 @@
   if (!Customer)
     return refuse(Refusal::NoHealthyTarget, ranOf(Wanted.MayHaveRun_));
   Wanted.Customer_ = *Customer;
-  admission::Arrival Arrival;
+  admission::AdmissionRequest Arrival;
   Arrival.Ticket_ = Ticket;
   Arrival.Customer_ = *Customer;
   Arrival.Caller_ = Wanted.Request_.CallerHash_;
@@ -164,14 +165,14 @@
   if (!payForResend(Wanted, Near, Now))
     return refuse(Refusal::TargetFailed, ranOf(Wanted.MayHaveRun_),
                   "retry-budget");
-  Arrival.Room_ = Near.Choice_.Target_.has_value();
-  const admission::AdmissionVerdict Verdict = Home->line().arrive(Arrival, Now);
+  Arrival.HasCapacity_ = Near.Choice_.Target_.has_value();
+  const admission::AdmissionDecision Verdict = Home->line().admit(Arrival, Now);
   Wanted.Charged_ = Verdict.ExpectedWork_;
-  if (Verdict.Action_ == AdmissionAction::Go)
+  if (Verdict.Action_ == AdmissionAction::Admit)
     return send(Ticket, Wanted, Near, Wanted.Shifted_ ? "shift" : "nearest");
   const bool Waits = Verdict.Action_ == AdmissionAction::Wait;
-  const bool Hopeless = Verdict.Cause_ == admission::Cause::OverRate ||
-                        Verdict.Cause_ == admission::Cause::DeadlineTooShort;
+  const bool Hopeless = Verdict.Reason_ == admission::Cause::RateLimited ||
+                        Verdict.Reason_ == admission::Cause::DeadlineTooShort;
   if (!Waits && Hopeless)
     return refuse(Wanted, Verdict);
   const base::Duration Wait =
@@ -180,13 +181,13 @@
   const auto Other = elsewhere(Wanted, *Home, Wait, Now, Why);
   if (Other) {
     if (Waits)
-      Home->line().cancel(Verdict.Place_);
+      Home->line().cancel(Verdict.Position_);
     return enterElsewhere(Ticket, Wanted, *Other, Now, Why);
   }
   if (!Waits)
     return refuse(Wanted, Verdict);
   Wanted.Pool_ = Home;
-  Wanted.Place_ = Verdict.Place_;
+  Wanted.Place_ = Verdict.Position_;
   return hold(Ticket, Wanted);
 }
 
@@ -197,15 +198,15 @@
   Wanted.Shifted_ = false;
   Wanted.Customer_ = Where.Pool_->customer(Wanted.Request_.Customer_)
                          .value_or(Wanted.Customer_);
-  admission::Arrival Arrival;
+  admission::AdmissionRequest Arrival;
   Arrival.Ticket_ = Ticket;
   Arrival.Customer_ = Wanted.Customer_;
   Arrival.Caller_ = Wanted.Request_.CallerHash_;
   Arrival.Deadline_ = Wanted.Request_.Deadline_;
-  Arrival.Room_ = true;
-  const auto Verdict = Where.Pool_->line().arrive(Arrival, Now);
+  Arrival.HasCapacity_ = true;
+  const auto Verdict = Where.Pool_->line().admit(Arrival, Now);
   Wanted.Charged_ = Verdict.ExpectedWork_;
-  if (Verdict.Action_ == AdmissionAction::Go)
+  if (Verdict.Action_ == AdmissionAction::Admit)
     return send(Ticket, Wanted, Where, Why);
   return refuse(Wanted, Verdict);
 }
@@ -274,9 +275,9 @@
 
 Decision
 ServiceSteering::refuse(const Pending &Wanted,
-                        const admission::AdmissionVerdict &Verdict) const {
-  Decision Taken = refuse(refusalOf(Verdict.Cause_), ranOf(Wanted.MayHaveRun_),
-                          admission::nameOf(Verdict.Cause_));
+                        const admission::AdmissionDecision &Verdict) const {
+  Decision Taken = refuse(refusalOf(Verdict.Reason_), ranOf(Wanted.MayHaveRun_),
+                          admission::nameOf(Verdict.Reason_));
   Taken.RetryAfter_ = Verdict.RetryAfter_;
   return Taken;
 }
@@ -302,41 +303,41 @@
   const placement::TargetIndex Target = Ended.SentTo_;
   const placement::Outcome Seen = outcomeOf(Report, Pool.line().expectedWork());
   Pool.targets().finished(Target, Seen, Report.Took_, Now);
-  Pool.line().finished(Ended.Customer_, Ended.Request_.CallerHash_,
-                       Ended.Charged_, Report.Took_,
-                       Seen == placement::Outcome::Good, Now);
+  Pool.line().recordCompletion(Ended.Customer_, Ended.Request_.CallerHash_,
+                               Ended.Charged_, Report.Took_,
+                               Seen == placement::Outcome::Good, Now);
   const std::uint64_t Fingerprint = Ended.Request_.Fingerprint_;
-  if (Report.End_ == SendEnd::Answered) {
+  if (Report.End_ == SendOutcome::Answered) {
     shifting::ColdCost &Cold = ColdCosts_[Pool.region()];
     if (Ended.Shifted_)
       Cold.movedTook(Report.Took_, Now);
     else
       Cold.ownTook(Report.Took_);
-    Retries_.succeeded();
-    Pool.retries(Target).succeeded();
-    Context_.Suspects_->answered(Fingerprint);
+    Retries_.recordSuccess();
+    Pool.retries(Target).recordSuccess();
+    Context_.Suspects_->recordResponse(Fingerprint);
   }
-  const bool Reset = Report.End_ == SendEnd::LostUnanswered ||
-                     Report.End_ == SendEnd::LostPartlyWritten ||
-                     Report.End_ == SendEnd::AnswerCut;
+  const bool Reset = Report.End_ == SendOutcome::LostBeforeResponse ||
+                     Report.End_ == SendOutcome::LostAfterPartialWrite ||
+                     Report.End_ == SendOutcome::ResponseTruncated;
   if (Reset && !Report.Silent_)
-    Context_.Suspects_->lost(Fingerprint, Pool.targets().nameOf(Target), Now);
+    Context_.Suspects_->recordTargetLoss(Fingerprint,
+                                         Pool.targets().nameOf(Target), Now);
 }
 
 Decision ServiceSteering::afterFailure(std::uint64_t Ticket, Pending &Failed,
                                        const SendReport &Report,
                                        base::TimePoint Now) {
-  const retrying::SendVerdict Verdict = retrying::judgeSend(
+  const retrying::RetryVerdict Verdict = retrying::evaluateRetry(
       {Report.End_, Failed.Request_.Idempotent_, Report.AnswerStarted_});
-  if (Verdict.Resend_ == retrying::Resend::NotNeeded)
+  if (Verdict.Retry_ == retrying::Resend::NotNeeded)
     return refuse(Refusal::None, Ran::Maybe);
   Failed.MayHaveRun_ = Failed.MayHaveRun_ || Verdict.Ran_ != retrying::Ran::No;
   const Ran MayHaveRun = ranOf(Failed.MayHaveRun_);
-  const bool Cancelled =
-      Verdict.Resend_ == retrying::Resend::ForbiddenCancelled;
+  const bool Cancelled = Verdict.Retry_ == retrying::Resend::ForbiddenCancelled;
   if (Cancelled || Failed.Request_.Deadline_ <= Now)
     return refuse(Refusal::DeadlinePassed, MayHaveRun);
-  if (!Verdict.mayResend() || Failed.Sends_ >= Context_.Limits_.Sends_)
+  if (!Verdict.mayRetry() || Failed.Sends_ >= Context_.Limits_.Sends_)
     return refuse(Refusal::TargetFailed, MayHaveRun);
   if (Context_.Suspects_->suspectUntil(Failed.Request_.Fingerprint_, Now) > Now)
     return refuse(Refusal::CrashSuspect, MayHaveRun);
@@ -364,7 +365,7 @@
     if (Upkeep)
       Pool->targets().tick(Now);
     Pool->upkeep(Now);
-    std::vector<admission::GivenUp> Left;
+    std::vector<admission::DroppedRequest> Left;
     Pool->line().expire(Now, Left);
     giveUp(Left, Woken);
   }
@@ -375,12 +376,12 @@
 void ServiceSteering::letWaitingGo(base::TimePoint Now,
                                    std::vector<Wakeup> &Woken) {
   for (const auto &[Id, Pool] : Pools_) {
-    std::vector<admission::GivenUp> Left;
-    while (Pool->line().waiting() > 0) {
+    std::vector<admission::DroppedRequest> Left;
+    while (Pool->line().queued() > 0) {
       Found Where{Pool.get(), Pool->targets().choose({}, Now, Random_)};
       if (!Where.Choice_.Target_)
         break;
-      const auto Next = Pool->line().next(Now, Left);
+      const auto Next = Pool->line().dequeue(Now, Left);
       if (!Next)
         break;
       Pending &First = Pending_.at(Next->Ticket_);
@@ -388,7 +389,7 @@
       if (First.Sends_ > 0 && First.SentTo_ == Where.Choice_.Target_) {
         Where.Choice_ = choose(*Pool, First, Now);
         if (!Where.Choice_.Target_) {
-          First.Place_ = Pool->line().putBack(*Next);
+          First.Place_ = Pool->line().requeue(*Next);
           break;
         }
       }
@@ -401,12 +402,12 @@
   }
 }
 
-void ServiceSteering::giveUp(std::span<const admission::GivenUp> Left,
+void ServiceSteering::giveUp(std::span<const admission::DroppedRequest> Left,
                              std::vector<Wakeup> &Woken) {
-  for (const admission::GivenUp &Each : Left) {
+  for (const admission::DroppedRequest &Each : Left) {
     const Pending &Ended = Pending_.at(Each.Request_.Ticket_);
-    Decision Refused = refuse(refusalOf(Each.Cause_), ranOf(Ended.MayHaveRun_),
-                              admission::nameOf(Each.Cause_));
+    Decision Refused = refuse(refusalOf(Each.Reason_), ranOf(Ended.MayHaveRun_),
+                              admission::nameOf(Each.Reason_));
     Refused.RetryAfter_ = Each.RetryAfter_;
     Woken.push_back({Each.Request_.Ticket_, Refused});
     Pending_.erase(Each.Request_.Ticket_);
--- a/libs/steering/ServiceSteering.h
+++ b/libs/steering/ServiceSteering.h
@@ -95,7 +95,7 @@
     base::TimePoint RateUntil_;
     /// The region that it waits for, or was sent to.
     RegionPool *Pool_ = nullptr;
-    admission::Place Place_;
+    admission::QueuePosition Place_;
     admission::CustomerIndex Customer_ = 0;
     /// What the line charged for it.
     base::Duration Charged_{};
@@ -133,12 +133,12 @@
   Decision refuse(Refusal Reason, Ran MayHaveRun,
                   std::string_view Why = {}) const;
   Decision refuse(const Pending &Wanted,
-                  const admission::AdmissionVerdict &Verdict) const;
+                  const admission::AdmissionDecision &Verdict) const;
   Decision afterFailure(std::uint64_t Ticket, Pending &Failed,
                         const SendReport &Report, base::TimePoint Now);
   void release(Pending &Ended, const SendReport &Report, base::TimePoint Now);
   void letWaitingGo(base::TimePoint Now, std::vector<Wakeup> &Woken);
-  void giveUp(std::span<const admission::GivenUp> Left,
+  void giveUp(std::span<const admission::DroppedRequest> Left,
               std::vector<Wakeup> &Woken);
 
   // Where it goes, in ServicePlacement.cpp.
--- a/libs/steering/Steering.h
+++ b/libs/steering/Steering.h
@@ -3,7 +3,7 @@
 
 #include "base/Id.h"
 #include "base/Time.h"
-#include "retrying/SendVerdict.h"
+#include "retrying/RetryVerdict.h"
 
 #include <cstdint>
 #include <optional>
@@ -141,12 +141,12 @@
   Decision Decision_;
 };
 
-/// The point at which a send to a target ended. \see retrying::judgeSend
-using SendEnd = retrying::SendEnd;
+/// The point at which a send to a target ended. \see retrying::evaluateRetry
+using SendOutcome = retrying::SendEnd;
 
 /// How a send went, as this host saw it.
 struct SendReport {
-  SendEnd End_ = SendEnd::Answered;
+  SendOutcome End_ = SendOutcome::Answered;
   int Status_ = 0;
   /// Time at the target: from the first byte written to the last byte read.
   base::Duration Took_{};
--- a/tests/admission/AdmissionControlTest.cpp
+++ b/tests/admission/AdmissionControlTest.cpp
@@ -43,7 +43,7 @@
       : Control_(Set) {}
 
   CustomerIndex customer(const char *Name) {
-    return Control_.enrol(CustomerId(Name), 1);
+    return Control_.registerCustomer(CustomerId(Name), 1);
   }
 
   AdmissionVerdict ask(CustomerIndex Customer, Duration Deadline = 2s,
@@ -53,11 +53,11 @@
     Asks.Customer_ = Customer;
     Asks.Caller_ = Caller;
     Asks.Deadline_ = Now_ + Deadline;
-    Asks.Room_ = Running_.size() < Slots;
-    const AdmissionVerdict Verdict = Control_.arrive(Asks, Now_);
+    Asks.HasCapacity_ = Running_.size() < Slots;
+    const AdmissionVerdict Verdict = Control_.admit(Asks, Now_);
     if (Verdict.Action_ == AdmissionVerdict::Action::Refuse)
-      ++Of_[Customer].Refused_[Verdict.Cause_];
-    if (Verdict.Action_ == AdmissionVerdict::Action::Go)
+      ++Of_[Customer].Refused_[Verdict.Reason_];
+    if (Verdict.Action_ == AdmissionVerdict::Action::Admit)
       start(Customer, Caller, Verdict.ExpectedWork_);
     return Verdict;
   }
@@ -93,9 +93,9 @@
     Running_.erase(Running_.begin());
     ++Of_[Done.Customer_].Answered_;
     Of_[Done.Customer_].AnsweredCallers_.insert(Done.Caller_);
-    Control_.finished(Done.Customer_, Done.Caller_, Done.Expected_, Work, true,
-                      Now_);
-    const auto Next = Control_.next(Now_, Left_);
+    Control_.recordCompletion(Done.Customer_, Done.Caller_, Done.Expected_,
+                              Work, true, Now_);
+    const auto Next = Control_.dequeue(Now_, Left_);
     noteLeft();
     if (!Next)
       return;
@@ -109,7 +109,7 @@
   void noteLeft() {
     for (const GivenUp &Each : Left_) {
       Counts &Own = Of_[Each.Request_.Customer_];
-      ++Own.Refused_[Each.Cause_];
+      ++Own.Refused_[Each.Reason_];
       Own.LongestToRefuse_ =
           std::max(Own.LongestToRefuse_, Now_ - Each.Request_.Arrived_);
     }
@@ -146,7 +146,7 @@
   void expectRefused(Cause Expected, const AdmissionVerdict &Verdict) const {
     CHECK(AdmissionVerdict::Action::Refuse == Verdict.Action_);
     STRCMP_EQUAL(std::string(nameOf(Expected)).c_str(),
-                 std::string(nameOf(Verdict.Cause_)).c_str());
+                 std::string(nameOf(Verdict.Reason_)).c_str());
   }
 };
 
@@ -154,11 +154,11 @@
   Arrival Asks;
   Asks.Customer_ = One_;
   Asks.Deadline_ = Service_.now() + 2s;
-  Asks.Room_ = true;
+  Asks.HasCapacity_ = true;
   Asks.Rate_ = {false, 300ms};
   const AdmissionVerdict Verdict =
-      Service_.control().arrive(Asks, Service_.now());
-  expectRefused(Cause::OverRate, Verdict);
+      Service_.control().admit(Asks, Service_.now());
+  expectRefused(Cause::RateLimited, Verdict);
   CHECK(300ms == Verdict.RetryAfter_);
 }
 
@@ -174,9 +174,9 @@
   Arrival Asks;
   Asks.Customer_ = Two_;
   Asks.Deadline_ = Service_.now() + 2s;
-  Asks.Room_ = true;
+  Asks.HasCapacity_ = true;
   CHECK(AdmissionVerdict::Action::Wait ==
-        Service_.control().arrive(Asks, Service_.now()).Action_);
+        Service_.control().admit(Asks, Service_.now()).Action_);
 }
 
 // 300 requests come at once, more than the slots but no more than can be served
--- a/tests/budget/EpochSettlementTest.cpp
+++ b/tests/budget/EpochSettlementTest.cpp
@@ -34,7 +34,7 @@
   Settlement.begin(3, std::array{One, Three});
   Settlement.acknowledge(One, 3);
   CHECK_FALSE(Settlement.settled());
-  Settlement.leaseEnded(Two);
+  Settlement.recordLeaseEnd(Two);
   CHECK(Settlement.settled());
 }
 
--- a/tests/budget/RateShareTest.cpp
+++ b/tests/budget/RateShareTest.cpp
@@ -98,8 +98,9 @@
   RateShare Donor = makeShare(One, 100, 50);
   RateShare Receiver = makeShare(Two, 100, 50);
   const base::TimePoint Now = Start + seconds(1);
-  const budget::Transfer Given = take(Donor.donate(
-      Two, {budget::Whole / 4, budget::Whole / 4}, 10 * TokensPerRequest, Now));
+  const budget::Transfer Given =
+      take(Donor.donate(Two, {budget::TotalParts / 4, budget::TotalParts / 4},
+                        10 * TokensPerRequest, Now));
   LONGS_EQUAL(10 * TokensPerRequest, Given.Tokens_);
   // The donor kept a quarter of the capacity, 12.5 of its 25 tokens.
   LONGS_EQUAL(TokensPerRequest * 25 / 2, Donor.level(Now));
@@ -114,8 +115,8 @@
 TEST(RateShare, tokensLeaveTheDonor) {
   RateShare Donor = makeShare(One, 100, 50);
   const base::TimePoint Now = Start + milliseconds(202);
-  const budget::Transfer Given = take(
-      Donor.donate(Two, {0, budget::Whole / 4}, 10 * TokensPerRequest, Now));
+  const budget::Transfer Given = take(Donor.donate(
+      Two, {0, budget::TotalParts / 4}, 10 * TokensPerRequest, Now));
   LONGS_EQUAL(10 * TokensPerRequest, Given.Tokens_);
   CHECK(SpendResult::Short == Donor.spend(TokensPerRequest, Now));
 }
@@ -126,8 +127,8 @@
 TEST(RateShare, aTransferCarriesNoMoreTokensThanItsCapacity) {
   RateShare Donor = makeShare(One, 100, 50);
   const base::TimePoint Now = Start + seconds(1);
-  const budget::Transfer Given = take(
-      Donor.donate(Two, {0, budget::Whole / 50}, 20 * TokensPerRequest, Now));
+  const budget::Transfer Given = take(Donor.donate(
+      Two, {0, budget::TotalParts / 50}, 20 * TokensPerRequest, Now));
   CHECK(Given.Tokens_ <= TokensPerRequest);
 }
 
@@ -138,11 +139,11 @@
   RateShare Donor = makeShare(One, 100, 50);
   RateShare Receiver = makeShare(Two, 100, 50);
   const budget::Transfer Given =
-      take(Donor.donate(Two, {budget::Whole / 4, 0}, 0, Start));
+      take(Donor.donate(Two, {budget::TotalParts / 4, 0}, 0, Start));
   Receiver.setTotal(RateTotal::fromRequests(200, 50), Start);
   CHECK(Receiver.accept(Given, Start));
   Donor.setTotal(RateTotal::fromRequests(200, 50), Start);
   const budget::Parts Sum =
       Donor.share().usable(Start).Rate_ + Receiver.share().usable(Start).Rate_;
-  LONGS_EQUAL(budget::Whole, Sum);
+  LONGS_EQUAL(budget::TotalParts, Sum);
 }
--- a/tests/budget/ShareModel.cpp
+++ b/tests/budget/ShareModel.cpp
@@ -57,7 +57,7 @@
 void ShareModel::startHost() {
   auto Fresh = std::make_unique<Host>();
   Fresh->Id_ = base::HostId("host" + std::to_string(NextName_++));
-  Fresh->Book_ = std::make_unique<budget::BudgetBook>(Fresh->Id_);
+  Fresh->Book_ = std::make_unique<budget::RateBudgets>(Fresh->Id_);
   Fresh->Drift_ = (2 * base::drawUnit(Random_) - 1) * LargestDrift;
   Fresh->Offset_ = std::chrono::seconds(base::drawBelow(Random_, 1000));
   static constexpr std::array<double, 4> Loads = {2, 20, 60, 300};
@@ -139,7 +139,7 @@
 void ShareModel::settleWhereDue() {
   for (const auto &Each : Hosts_)
     if (!Each->Member_ && Now_ > Each->LeaseEnds_ + LeaseMargin)
-      Settlement_.leaseEnded(Each->Id_);
+      Settlement_.recordLeaseEnd(Each->Id_);
   if (!Settlement_.settled())
     return;
   if (!SettledNow_)
@@ -174,13 +174,14 @@
 void ShareModel::exchange(Host &Asker) {
   if (!isRunning(Asker))
     return;
-  for (const budget::Ask &Asked : Asker.Book_->asksDue(localTime(Asker))) {
+  for (const budget::ShareRequest &Asked :
+       Asker.Book_->dueRequests(localTime(Asker))) {
     Host &Donor = *Hosts_[base::drawBelow(
         Random_, static_cast<std::uint32_t>(Hosts_.size()))];
     send([this, &Donor, &Asker, Asked] {
       if (!isRunning(Donor))
         return;
-      const auto Given = Donor.Book_->give(Asked, localTime(Donor));
+      const auto Given = Donor.Book_->donate(Asked, localTime(Donor));
       if (!Given)
         return;
       ++Transfers_;
--- a/tests/budget/ShareModel.h
+++ b/tests/budget/ShareModel.h
@@ -3,8 +3,8 @@
 
 #include "base/Random.h"
 #include "base/Time.h"
-#include "budget/BudgetBook.h"
 #include "budget/EpochSettlement.h"
+#include "budget/RateBudgets.h"
 
 #include <cstdint>
 #include <functional>
@@ -37,7 +37,7 @@
 private:
   struct Host {
     base::HostId Id_;
-    std::unique_ptr<budget::BudgetBook> Book_;
+    std::unique_ptr<budget::RateBudgets> Book_;
     double Drift_ = 0;
     base::Duration Offset_{};
     base::TimePoint PausedUntil_;
--- a/tests/claims/ClaimPartitionTest.cpp
+++ b/tests/claims/ClaimPartitionTest.cpp
@@ -53,11 +53,11 @@
 
   ClaimAnswer ask(ClaimPartition & Owner, int Number) {
     const ClaimVerdict Verdict = Owner.claim(key(Number), Fingerprint, Asker);
-    if (Verdict.Answer_ != ClaimAnswer::Pending)
-      return Verdict.Answer_;
+    if (Verdict.Outcome_ != ClaimAnswer::Pending)
+      return Verdict.Outcome_;
     settle();
     LONGS_EQUAL(1, Told_[key(Number)].size());
-    return Told_[key(Number)].front().Answer_;
+    return Told_[key(Number)].front().Outcome_;
   }
 
   bool stands(int Number) {
@@ -96,7 +96,7 @@
 TEST(ClaimPartition, withoutTheStoreNothingIsGranted) {
   const auto Owner = makeOwner(1);
   Store_.Down_ = true;
-  CHECK(ClaimAnswer::StoreDown == ask(*Owner, 1));
+  CHECK(ClaimAnswer::StoreUnavailable == ask(*Owner, 1));
   CHECK_FALSE(stands(1));
   Store_.Down_ = false;
   Told_.clear();
@@ -167,8 +167,8 @@
   CHECK(ClaimAnswer::Granted == ask(*Owner, 1));
   Owner->finish(key(1), Told_[key(1)].front().Grant_, retrying::Ran::Yes, 201);
   const ClaimVerdict Again = Owner->claim(key(1), Fingerprint, Asker);
-  CHECK(ClaimAnswer::AlreadyRun == Again.Answer_);
+  CHECK(ClaimAnswer::AlreadyRun == Again.Outcome_);
   LONGS_EQUAL(201, Again.Status_);
-  CHECK(ClaimAnswer::OtherRequest ==
-        Owner->claim(key(1), Fingerprint + 1, Asker).Answer_);
+  CHECK(ClaimAnswer::KeyReused ==
+        Owner->claim(key(1), Fingerprint + 1, Asker).Outcome_);
 }
--- a/tests/dispatch/DispatchSteeringTest.cpp
+++ b/tests/dispatch/DispatchSteeringTest.cpp
@@ -82,7 +82,7 @@
 TEST(DispatchSteering, aLostBookingIsNotSentAgainAndMayHaveRun) {
   const Decision Sent = arrive(requestOf(false));
   CHECK(Sent.Action_ == Decision::Action::Send);
-  const Decision After = finish(Sent, SendEnd::LostUnanswered);
+  const Decision After = finish(Sent, SendEnd::LostBeforeResponse);
   CHECK(After.Action_ == Decision::Action::Refuse);
   CHECK(After.Refusal_ == Refusal::TargetFailed);
   CHECK(After.Ran_ == Ran::Maybe);
@@ -100,14 +100,14 @@
 TEST(DispatchSteering, aBookingShedAndThenLostMayHaveRun) {
   const Decision First = arrive(requestOf(false, 3));
   const Decision Second = finish(First, SendEnd::Shed, 503);
-  CHECK(finish(Second, SendEnd::LostUnanswered).Ran_ == Ran::Maybe);
+  CHECK(finish(Second, SendEnd::LostBeforeResponse).Ran_ == Ran::Maybe);
 }
 
 // A look-up was lost, sent again and shed everywhere. The first target may have
 // run it; "503, not run" would be a lie.
 TEST(DispatchSteering, aLookupLostAndThenShedMayHaveRun) {
   const Decision First = arrive(requestOf(true));
-  const Decision Second = finish(First, SendEnd::LostUnanswered);
+  const Decision Second = finish(First, SendEnd::LostBeforeResponse);
   CHECK(Second.Action_ == Decision::Action::Send);
   const Decision After = finish(Second, SendEnd::Shed, 503);
   CHECK(After.Action_ == Decision::Action::Refuse);
@@ -210,7 +210,7 @@
     Targets_.clear();
     addTarget(Name);
     push();
-    finish(arrive(requestOf(false)), SendEnd::LostUnanswered);
+    finish(arrive(requestOf(false)), SendEnd::LostBeforeResponse);
     Request Other = requestOf(false);
     Other.Fingerprint_ = 99;
     CHECK(arrive(requestOf(false)).Refusal_ != Refusal::CrashSuspect);
--- a/tests/exchange/ExchangeCodecTest.cpp
+++ b/tests/exchange/ExchangeCodecTest.cpp
@@ -16,7 +16,7 @@
   Made.Round_.Host_ = base::HostId("one#17");
   Made.Round_.Loads_ = {{base::ServiceId("rota"), base::TargetId("rota-1"), 3}};
   Made.Round_.Spare_ = {{base::ServiceId("rota"), base::RegionId("near"), 2}};
-  Made.Offers_ = {{"rate/parish", budget::Whole / 3, 5'000'000'000}};
+  Made.Offers_ = {{"rate/parish", budget::TotalParts / 3, 5'000'000'000}};
   lychee::retrying::CrashEvidence Evidence;
   Evidence.Fingerprint_ = ~std::uint64_t(0);
   Evidence.Target_ = 7;
@@ -33,7 +33,7 @@
   Made.Donor_ = base::HostId("one#17");
   Made.Receiver_ = base::HostId("two#18");
   Made.Sequence_ = 12;
-  Made.Amount_ = {budget::Whole / 7, budget::Whole / 9};
+  Made.Amount_ = {budget::TotalParts / 7, budget::TotalParts / 9};
   Made.Tokens_ = 123456789;
   return Made;
 }
--- a/tests/exchange/OfferBookTest.cpp
+++ b/tests/exchange/OfferBookTest.cpp
@@ -15,8 +15,8 @@
 const base::HostId One("one");
 const base::HostId Two("two");
 
-budget::Ask askFor(budget::Parts Rate, std::int64_t Tokens) {
-  budget::Ask Made;
+budget::ShareRequest askFor(budget::Parts Rate, std::int64_t Tokens) {
+  budget::ShareRequest Made;
   Made.Budget_ = "rate/parish";
   Made.Rate_ = Rate;
   Made.Tokens_ = Tokens;
@@ -29,7 +29,7 @@
   OfferBook Book_;
   base::Random Random_{7};
 
-  std::vector<base::HostId> take(const budget::Ask &Asked,
+  std::vector<base::HostId> take(const budget::ShareRequest &Asked,
                                  base::TimePoint At = Now) {
     return Book_.takeDonors(Asked, At, Random_);
   }
--- a/tests/gateway/FakeSteering.cpp
+++ b/tests/gateway/FakeSteering.cpp
@@ -48,7 +48,7 @@
   const Ticket Described = Sent_[Number];
   const bool NotRun = Report.End_ == SendEnd::Shed ||
                       Report.End_ == SendEnd::ConnectFailed ||
-                      Report.End_ == SendEnd::ClosedUnwritten;
+                      Report.End_ == SendEnd::ClosedBeforeWrite;
   const bool Over =
       Report.End_ == SendEnd::Answered || Report.End_ == SendEnd::Cancelled;
   if (!Over && !Report.AnswerStarted_ && (NotRun || Described.Idempotent_) &&
--- a/tests/gateway/FakeSteering.h
+++ b/tests/gateway/FakeSteering.h
@@ -39,7 +39,7 @@
   void cancel(std::uint64_t Ticket, base::TimePoint Now) override;
   void tick(base::TimePoint Now, std::vector<steering::Wakeup> &Woken) override;
 
-  std::vector<steering::SendEnd> ends() const;
+  std::vector<steering::SendOutcome> ends() const;
   std::size_t openTickets() const;
   std::size_t waiting() const;
   int arrivals() const;
@@ -61,7 +61,7 @@
   std::map<std::uint64_t, Ticket> Sent_;
   std::deque<std::uint64_t> Waiting_;
   std::map<std::uint64_t, Ticket> WaitingTickets_;
-  std::vector<steering::SendEnd> Ends_;
+  std::vector<steering::SendOutcome> Ends_;
   int Arrivals_ = 0;
 };
 
--- a/tests/gateway/ForeignBytesTest.cpp
+++ b/tests/gateway/ForeignBytesTest.cpp
@@ -141,8 +141,8 @@
   });
   RawClient Caller(Fixture_->address());
   LONGS_EQUAL(502, Caller.request("GET", "/s/x", "X-Name: r1\r\n").Status_);
-  CHECK(Fixture_->Steering_->ends()[0] == SendEnd::AnswerCut ||
-        Fixture_->Steering_->ends()[0] == SendEnd::LostUnanswered);
+  CHECK(Fixture_->Steering_->ends()[0] == SendEnd::ResponseTruncated ||
+        Fixture_->Steering_->ends()[0] == SendEnd::LostBeforeResponse);
 }
 
 TEST(ForeignBytes, aTargetsOwnWordThatItDidNotRunIsKnownByItsHeader) {
--- a/tests/gateway/StreamingTest.cpp
+++ b/tests/gateway/StreamingTest.cpp
@@ -105,7 +105,7 @@
       Caller.request("GET", "/s/down?answer_bytes=5000000");
   CHECK_FALSE(Answer.Whole_);
   CHECK(tests::waitFor([&] { return !Fixture_.Steering_->ends().empty(); }));
-  CHECK(Fixture_.Steering_->ends().front() == SendEnd::AnswerCut);
+  CHECK(Fixture_.Steering_->ends().front() == SendEnd::ResponseTruncated);
   LONGS_EQUAL(1, Fixture_.runs());
 }
 
--- a/tests/gateway/TargetFaultTest.cpp
+++ b/tests/gateway/TargetFaultTest.cpp
@@ -58,7 +58,7 @@
   const RawAnswer Answer = Caller.request("POST", "/s/x", "", "boom");
   LONGS_EQUAL(502, Answer.Status_);
   STRCMP_EQUAL("maybe", Answer.header("lychee-ran").c_str());
-  CHECK(Fixture_.Steering_->ends()[0] == SendEnd::LostUnanswered);
+  CHECK(Fixture_.Steering_->ends()[0] == SendEnd::LostBeforeResponse);
   LONGS_EQUAL(1, Fixture_.runs());
 }
 
@@ -71,7 +71,7 @@
   const RawAnswer Answer = Caller.request("GET", "/s/x");
   LONGS_EQUAL(200, Answer.Status_);
   CHECK(holds(Answer.Body_, R"("target":"t2")"));
-  CHECK(Fixture_.Steering_->ends()[0] == SendEnd::AnswerCut);
+  CHECK(Fixture_.Steering_->ends()[0] == SendEnd::ResponseTruncated);
 }
 
 // Each answer comes twice. The second copy would be taken for the answer to
--- a/tests/retrying/ClaimTableTest.cpp
+++ b/tests/retrying/ClaimTableTest.cpp
@@ -65,7 +65,7 @@
     claim(Number);
     write();
     CHECK_FALSE(Told_.empty());
-    CHECK(ClaimAnswer::Granted == Told_.back().Answer_);
+    CHECK(ClaimAnswer::Granted == Told_.back().Outcome_);
     return Told_.back().Grant_;
   }
 
@@ -79,7 +79,7 @@
 };
 
 TEST(ClaimTable, nothingRunsBeforeItsClaimStandsInTheStore) {
-  CHECK(ClaimAnswer::Pending == claim(1).Answer_);
+  CHECK(ClaimAnswer::Pending == claim(1).Outcome_);
   LONGS_EQUAL(0, Told_.size());
   write();
   expectTold({ClaimAnswer::Granted});
@@ -101,11 +101,11 @@
 
 TEST(ClaimTable, aSecondSendIsToldWhatBecameOfTheFirst) {
   const std::uint64_t Grant = granted(1);
-  CHECK(ClaimAnswer::MayHaveRun == claim(1).Answer_);
-  CHECK(ClaimAnswer::OtherRequest == claim(1, 6).Answer_);
+  CHECK(ClaimAnswer::MayHaveRun == claim(1).Outcome_);
+  CHECK(ClaimAnswer::KeyReused == claim(1, 6).Outcome_);
   Table_.finish(keyOf(1), Grant, Ran::Yes, 201, Now_);
   const ClaimVerdict Again = claim(1);
-  CHECK(ClaimAnswer::AlreadyRun == Again.Answer_);
+  CHECK(ClaimAnswer::AlreadyRun == Again.Outcome_);
   LONGS_EQUAL(201, Again.Status_);
 }
 
@@ -118,7 +118,7 @@
   const std::uint64_t Second = granted(1);
   CHECK(First != Second);
   Table_.finish(keyOf(1), First, Ran::No, 0, Now_);
-  CHECK(ClaimAnswer::MayHaveRun == claim(1).Answer_);
+  CHECK(ClaimAnswer::MayHaveRun == claim(1).Outcome_);
 }
 
 // The owner is paused, its lease lapses, and another host takes the partition.
@@ -136,7 +136,7 @@
   Table_.readBack(Store_.Value_, Told_);
   expectTold({ClaimAnswer::NotOwner});
   CHECK_FALSE(Table_.isLoaded());
-  CHECK(ClaimAnswer::NotOwner == claim(2).Answer_);
+  CHECK(ClaimAnswer::NotOwner == claim(2).Outcome_);
 }
 
 TEST(ClaimTable, anOwnerOfAnEarlierEpochMayNotLoad) {
@@ -151,7 +151,7 @@
   granted(1);
   ClaimTable Successor(2);
   CHECK(Successor.load(Store_.Value_, 2));
-  CHECK(ClaimAnswer::MayHaveRun == Successor.claim(keyOf(1), 5, Now_).Answer_);
+  CHECK(ClaimAnswer::MayHaveRun == Successor.claim(keyOf(1), 5, Now_).Outcome_);
 }
 
 TEST(ClaimTable, aLostAnswerIsResolvedByReadingBack) {
@@ -191,7 +191,7 @@
   CHECK(Table_.planWrite(Now_).has_value());
   claim(2);
   Table_.failed(Told_);
-  expectTold({ClaimAnswer::StoreDown, ClaimAnswer::StoreDown});
+  expectTold({ClaimAnswer::StoreUnavailable, ClaimAnswer::StoreUnavailable});
   LONGS_EQUAL(0, Table_.size());
 }
 
@@ -212,12 +212,12 @@
   CHECK(Table.load({}, 1));
   Table.claim(keyOf(1), 5, Now_);
   Table.claim(keyOf(2), 5, Now_);
-  CHECK(ClaimAnswer::Full == Table.claim(keyOf(3), 5, Now_).Answer_);
+  CHECK(ClaimAnswer::Full == Table.claim(keyOf(3), 5, Now_).Outcome_);
   Table.planWrite(Now_);
   Table.written(1, Told_);
-  CHECK(ClaimAnswer::Full == Table.claim(keyOf(3), 5, Now_).Answer_);
+  CHECK(ClaimAnswer::Full == Table.claim(keyOf(3), 5, Now_).Outcome_);
   Now_ += Small.Retention_ + 1s;
-  CHECK(ClaimAnswer::Pending == Table.claim(keyOf(3), 5, Now_).Answer_);
+  CHECK(ClaimAnswer::Pending == Table.claim(keyOf(3), 5, Now_).Outcome_);
 }
 
 // A first run is proven not run, its claim is given up and leaves the store. A
@@ -237,7 +237,7 @@
   CHECK(Store_.put(Successor.planWrite(Now_).value_or(ClaimObject())));
   Successor.written(Store_.Value_.Version_, Told_);
   Successor.finish(keyOf(1), First, Ran::No, 0, Now_);
-  CHECK(ClaimAnswer::MayHaveRun == Successor.claim(keyOf(1), 5, Now_).Answer_);
+  CHECK(ClaimAnswer::MayHaveRun == Successor.claim(keyOf(1), 5, Now_).Outcome_);
 }
 
 // A freed claim is asked for again, and the answer to its write is lost. The
@@ -262,7 +262,7 @@
   write();
   ClaimTable Successor(2);
   CHECK(Successor.load(Store_.Value_, 2));
-  CHECK(ClaimAnswer::AlreadyRun == Successor.claim(keyOf(1), 5, Now_).Answer_);
+  CHECK(ClaimAnswer::AlreadyRun == Successor.claim(keyOf(1), 5, Now_).Outcome_);
 }
 
 TEST(ClaimTable, onlyTheLostHostsPartitionsMove) {
@@ -357,7 +357,7 @@
       return;
     const ClaimVerdict Asked =
         anyOwner().Table_.claim(keyOf(drawBelow(Numbers_, 20)), 5, Now_);
-    if (Asked.Answer_ == ClaimAnswer::Granted)
+    if (Asked.Outcome_ == ClaimAnswer::Granted)
       run(Asked);
   }
 
@@ -390,7 +390,7 @@
       }
     }
     for (const ClaimVerdict &Each : Told)
-      if (Each.Answer_ == ClaimAnswer::Granted)
+      if (Each.Outcome_ == ClaimAnswer::Granted)
         run(Each);
   }
 
--- a/tests/retrying/CrashSuspectsTest.cpp
+++ b/tests/retrying/CrashSuspectsTest.cpp
@@ -27,10 +27,10 @@
 // again. After the second target it is refused, and the third stays up. When a
 // minute has passed without another loss it may try again.
 TEST(CrashSuspects, twoTargetsLostMakeASuspectForAWhile) {
-  Suspects_.lost(7, TargetId("a"), Now_);
+  Suspects_.recordTargetLoss(7, TargetId("a"), Now_);
   CHECK_FALSE(isSuspect(7));
   Now_ += 5s;
-  Suspects_.lost(7, TargetId("b"), Now_);
+  Suspects_.recordTargetLoss(7, TargetId("b"), Now_);
   CHECK(isSuspect(7));
   CHECK_FALSE(isSuspect(8));
   Now_ += CrashSuspects::EvidenceAge;
@@ -40,22 +40,22 @@
 // One target restarts twice in a row with the same long request on it. That is
 // the target's fault as likely as the request's.
 TEST(CrashSuspects, theSameTargetTwiceProvesNothing) {
-  Suspects_.lost(7, TargetId("a"), Now_);
-  Suspects_.lost(7, TargetId("a"), Now_ + 1s);
+  Suspects_.recordTargetLoss(7, TargetId("a"), Now_);
+  Suspects_.recordTargetLoss(7, TargetId("a"), Now_ + 1s);
   CHECK_FALSE(isSuspect(7));
 }
 
 TEST(CrashSuspects, lossesFarApartAreUnrelated) {
-  Suspects_.lost(7, TargetId("a"), Now_);
+  Suspects_.recordTargetLoss(7, TargetId("a"), Now_);
   Now_ += CrashSuspects::EvidenceAge + 1s;
-  Suspects_.lost(7, TargetId("b"), Now_);
+  Suspects_.recordTargetLoss(7, TargetId("b"), Now_);
   CHECK_FALSE(isSuspect(7));
 }
 
 TEST(CrashSuspects, anAnswerClearsTheEvidence) {
-  Suspects_.lost(7, TargetId("a"), Now_);
-  Suspects_.answered(7);
-  Suspects_.lost(7, TargetId("b"), Now_);
+  Suspects_.recordTargetLoss(7, TargetId("a"), Now_);
+  Suspects_.recordResponse(7);
+  Suspects_.recordTargetLoss(7, TargetId("b"), Now_);
   CHECK_FALSE(isSuspect(7));
 }
 
@@ -63,8 +63,8 @@
 // host sees two losses; together they have, and each comes to know.
 TEST(CrashSuspects, hostsFindItTogether) {
   CrashSuspects Other;
-  Suspects_.lost(7, TargetId("a"), Now_);
-  Other.lost(7, TargetId("b"), Now_ + 1s);
+  Suspects_.recordTargetLoss(7, TargetId("a"), Now_);
+  Other.recordTargetLoss(7, TargetId("b"), Now_ + 1s);
   Now_ += 2s;
   Suspects_.merge(Other.evidence(Now_), Now_);
   CHECK(isSuspect(7));
@@ -95,11 +95,11 @@
 TEST(CrashSuspects, whatIsToldIsBoundedAndSuspectsComeFirst) {
   const TargetId First("first");
   const TargetId Second("second");
-  Suspects_.lost(1, First, Now_);
-  Suspects_.lost(1, Second, Now_);
+  Suspects_.recordTargetLoss(1, First, Now_);
+  Suspects_.recordTargetLoss(1, Second, Now_);
   for (std::uint64_t Fingerprint = 2; Fingerprint < 400; ++Fingerprint)
-    Suspects_.lost(Fingerprint, First, Now_ + 100ms);
-  Suspects_.lost(400, Second, Now_ + 200ms);
+    Suspects_.recordTargetLoss(Fingerprint, First, Now_ + 100ms);
+  Suspects_.recordTargetLoss(400, Second, Now_ + 200ms);
   const auto Told = Suspects_.evidence(Now_ + 200ms);
   LONGS_EQUAL(CrashSuspects::MostTold, Told.size());
   LONGS_EQUAL(1, Told[0].Fingerprint_);
@@ -111,10 +111,10 @@
 // and a suspect found after it is still found.
 TEST(CrashSuspects, aFloodOfLossesIsBounded) {
   for (std::uint64_t Each = 100; Each < 50100; ++Each)
-    Suspects_.lost(Each, TargetId("a"), Now_);
+    Suspects_.recordTargetLoss(Each, TargetId("a"), Now_);
   Now_ += 1s;
-  Suspects_.lost(7, TargetId("a"), Now_);
-  Suspects_.lost(7, TargetId("b"), Now_);
+  Suspects_.recordTargetLoss(7, TargetId("a"), Now_);
+  Suspects_.recordTargetLoss(7, TargetId("b"), Now_);
   CHECK(isSuspect(7));
   CHECK(Suspects_.evidence(Now_).size() <= CrashSuspects::MostFingerprints + 1);
 }
--- a/tests/retrying/RetryBudgetTest.cpp
+++ b/tests/retrying/RetryBudgetTest.cpp
@@ -39,7 +39,7 @@
 TEST(RetryBudget, secondSendsAreAFractionOfSuccesses) {
   spendAll();
   for (int Each = 0; Each < 50; ++Each)
-    Budget_.succeeded();
+    Budget_.recordSuccess();
   LONGS_EQUAL(5, spendAll());
 }
 
--- a/tests/retrying/SendVerdictTest.cpp
+++ b/tests/retrying/SendVerdictTest.cpp
@@ -1,4 +1,4 @@
-#include "retrying/SendVerdict.h"
+#include "retrying/RetryVerdict.h"
 
 #include <array>
 #include <string>
@@ -28,16 +28,16 @@
     {SendEnd::Answered, Ran::Yes, Resend::NotNeeded, Resend::NotNeeded},
     {SendEnd::Shed, Ran::No, Resend::Allowed, Resend::Allowed},
     {SendEnd::ConnectFailed, Ran::No, Resend::Allowed, Resend::Allowed},
-    {SendEnd::ClosedUnwritten, Ran::No, Resend::Allowed, Resend::Allowed},
-    {SendEnd::LostPartlyWritten, Ran::Maybe, Resend::AllowedAsIdempotent,
+    {SendEnd::ClosedBeforeWrite, Ran::No, Resend::Allowed, Resend::Allowed},
+    {SendEnd::LostAfterPartialWrite, Ran::Maybe, Resend::AllowedAsIdempotent,
      Resend::ForbiddenMayHaveRun},
-    {SendEnd::LostUnanswered, Ran::Maybe, Resend::AllowedAsIdempotent,
+    {SendEnd::LostBeforeResponse, Ran::Maybe, Resend::AllowedAsIdempotent,
      Resend::ForbiddenMayHaveRun},
-    {SendEnd::AnswerCut, Ran::Maybe, Resend::AllowedAsIdempotent,
+    {SendEnd::ResponseTruncated, Ran::Maybe, Resend::AllowedAsIdempotent,
      Resend::ForbiddenMayHaveRun},
-    {SendEnd::AnswerUnusable, Ran::Maybe, Resend::AllowedAsIdempotent,
+    {SendEnd::ResponseInvalid, Ran::Maybe, Resend::AllowedAsIdempotent,
      Resend::ForbiddenMayHaveRun},
-    {SendEnd::CancelledUnwritten, Ran::No, Resend::ForbiddenCancelled,
+    {SendEnd::CancelledBeforeWrite, Ran::No, Resend::ForbiddenCancelled,
      Resend::ForbiddenCancelled},
     {SendEnd::Cancelled, Ran::Maybe, Resend::ForbiddenCancelled,
      Resend::ForbiddenCancelled},
@@ -49,8 +49,8 @@
                           (Facts.Idempotent_ ? " idempotent" : "") +
                           (Facts.AnswerStarted_ ? " started" : "");
   CHECK_TEXT(Found.Ran_ == Expected.Ran_, Row.c_str());
-  STRCMP_EQUAL_TEXT(std::string(nameOf(Expected.Resend_)).c_str(),
-                    std::string(nameOf(Found.Resend_)).c_str(), Row.c_str());
+  STRCMP_EQUAL_TEXT(std::string(nameOf(Expected.Retry_)).c_str(),
+                    std::string(nameOf(Found.Retry_)).c_str(), Row.c_str());
 }
 
 } // namespace
@@ -73,7 +73,7 @@
   for (const Row &Each : Rows)
     for (const bool Idempotent : {true, false}) {
       const SendVerdict Found = judgeSend({Each.End_, Idempotent, true});
-      CHECK_FALSE(Found.mayResend());
+      CHECK_FALSE(Found.mayRetry());
       CHECK(Found.Ran_ != Ran::No);
     }
 }
@@ -81,6 +81,6 @@
 TEST(SendVerdict, aRequestThatMayHaveRunIsSentAgainOnlyIfIdempotent) {
   for (const Row &Each : Rows) {
     const SendVerdict Found = judgeSend({Each.End_, false, false});
-    CHECK(!Found.mayResend() || Found.Ran_ == Ran::No);
+    CHECK(!Found.mayRetry() || Found.Ran_ == Ran::No);
   }
 }
--- a/tests/steering/FleetSteeringTest.cpp
+++ b/tests/steering/FleetSteeringTest.cpp
@@ -44,7 +44,7 @@
     return Made;
   }
 
-  steering::Decision end(std::uint64_t Ticket, steering::SendEnd End) {
+  steering::Decision end(std::uint64_t Ticket, steering::SendOutcome End) {
     return Steering_.finish(Ticket, {.End_ = End}, Now_, Woken_);
   }
 };
@@ -56,7 +56,7 @@
   CHECK(First.Target_ != Second.Target_);
   const auto Third = Steering_.arrive(request(), Now_);
   CHECK(Third.Action_ == Action::Wait);
-  end(Second.Ticket_, steering::SendEnd::Answered);
+  end(Second.Ticket_, steering::SendOutcome::Answered);
   LONGS_EQUAL(1, Woken_.size());
   LONGS_EQUAL(Third.Ticket_, Woken_[0].Ticket_);
   CHECK(Woken_[0].Decision_.Target_ == Second.Target_);
@@ -84,14 +84,15 @@
   // The target loses the connection after the whole request was written. The
   // request is not idempotent: a second send could run it twice.
   const auto First = Steering_.arrive(request(), Now_);
-  const auto Next = end(First.Ticket_, steering::SendEnd::LostUnanswered);
+  const auto Next =
+      end(First.Ticket_, steering::SendOutcome::LostBeforeResponse);
   CHECK(Next.Action_ == Action::Refuse);
   CHECK(Next.Ran_ == steering::Ran::Maybe);
 }
 
 TEST(FleetSteering, aShedRequestGoesToAnotherTarget) {
   const auto First = Steering_.arrive(request(), Now_);
-  const auto Next = end(First.Ticket_, steering::SendEnd::Shed);
+  const auto Next = end(First.Ticket_, steering::SendOutcome::Shed);
   CHECK(Next.Action_ == Action::Send);
   CHECK(Next.Target_ != First.Target_);
 }
