--- a/apps/lycheed/DecisionReporter.cpp
+++ b/apps/lycheed/DecisionReporter.cpp
@@ -43,7 +43,8 @@
   reporting::DecisionRecord Record = recordOf(Request);
   if (Made.Inputs_)
     Record.Inputs_ = reporting::DecisionRecord::Inputs{
-        Made.Inputs_->Place_, base::toMilliseconds(Made.Inputs_->Expected_),
+        Made.Inputs_->Rank_,
+        base::toMilliseconds(Made.Inputs_->ExpectedResponseTime_),
         Made.Inputs_->Load_,
         Made.Inputs_->LoadAge_ ? base::toMilliseconds(*Made.Inputs_->LoadAge_)
                                : NeverTold};
@@ -52,8 +53,8 @@
   Record.Reason_ = Made.Reason_;
   Record.SettingsVersion_ = Made.SettingsVersion_;
   std::vector<reporting::PassedOverCandidate> PassedOver;
-  PassedOver.reserve(Made.PassedOver_.size());
-  for (const steering::PassedOver &Each : Made.PassedOver_)
+  PassedOver.reserve(Made.PassedOverTargets_.size());
+  for (const steering::PassedOverTarget &Each : Made.PassedOverTargets_)
     PassedOver.push_back({Each.Target_.name(), Each.Reason_});
   Record.PassedOver_ = PassedOver;
   switch (Made.Action_) {
@@ -81,14 +82,14 @@
                                  const steering::SendReport &Report,
                                  base::TimePoint /*Now*/) {
   TargetSeconds_.observe(base::toSeconds(Report.Took_));
-  const bool Answered = Report.End_ == steering::SendOutcome::Answered;
+  const bool Answered = Report.Outcome_ == steering::SendOutcome::Answered;
   (Answered ? Answers_ : Failures_).add();
   reporting::DecisionRecord Record = recordOf(Request);
   Record.Event_ = Answered ? "answered" : "send-failed";
   Record.TookMs_ = base::toMilliseconds(Report.Took_);
   Record.Region_ = Sent.Region_;
   Record.Target_ = Sent.Target_;
-  Record.Reason_ = retrying::nameOf(Report.End_);
+  Record.Reason_ = retrying::nameOf(Report.Outcome_);
   Record.Status_ = Report.Status_;
   Record.SettingsVersion_ = Sent.SettingsVersion_;
   Log_.record(Record, base::SystemClock::wallNow());
@@ -99,7 +100,7 @@
                                     base::TimePoint Now) {
   reporting::DecisionRecord Record = recordOf(Request);
   Record.Event_ = "end";
-  Record.TookMs_ = base::toMilliseconds(Now - Request.Arrived_);
+  Record.TookMs_ = base::toMilliseconds(Now - Request.ArrivedAt_);
   Record.Reason_ = Outcome;
   Record.Status_ = Status;
   Log_.record(Record, base::SystemClock::wallNow());
--- a/apps/lycheed/LoadReporter.cpp
+++ b/apps/lycheed/LoadReporter.cpp
@@ -5,8 +5,8 @@
 void LoadReporter::observed(const gateway::TargetObservation &Seen,
                             base::TimePoint Now) {
   if (Seen.HasLoad_)
-    Steering_.reported(Seen.Service_, Seen.Target_,
-                       Seen.Running_ + Seen.Waiting_, Now);
+    Steering_.reportTargetLoad(Seen.Service_, Seen.Target_,
+                               Seen.Running_ + Seen.Waiting_, Now);
 }
 
 } // namespace lychee::daemon
--- a/bench/decisions/Costs.cpp
+++ b/bench/decisions/Costs.cpp
@@ -62,12 +62,12 @@
     Counts.reserve(Share);
     for (std::uint32_t Each = 0; Each < Share; ++Each)
       Counts.push_back({base::drawBelow(Numbers, Targets), 1});
-    Pool.heard(Peer, Counts, Now);
+    Pool.recordPeerLoads(Peer, Counts, Now);
   }
   std::vector<TargetIndex> Running;
   for (std::uint32_t Each = 0; Each < Share; ++Each)
     if (const auto Chosen = Pool.choose({}, Now, Numbers).Target_) {
-      Pool.started(*Chosen);
+      Pool.recordStart(*Chosen);
       Running.push_back(*Chosen);
     }
   std::size_t Next = 0;
@@ -79,8 +79,8 @@
             const auto Chosen = Pool.choose({}, Now, Numbers).Target_;
             if (!Chosen || Running.empty())
               return;
-            Pool.started(*Chosen);
-            Pool.finished(Running[Next], Outcome::Good, 20ms, Now);
+            Pool.recordStart(*Chosen);
+            Pool.recordFinish(Running[Next], Outcome::Success, 20ms, Now);
             Running[Next] = *Chosen;
             Next = (Next + 1) % Running.size();
             Sink = Sink + *Chosen;
@@ -154,11 +154,10 @@
   }
   Plans.setPlans(Declared);
   for (const shifting::ShiftPlan &Plan : Declared)
-    Plans.adopt(Plan.Id_, 0.2);
+    Plans.adoptPeerShare(Plan.Id_, 0.2);
   const base::RegionId Home("from");
-  const shifting::ShiftSet::HeadroomOf Headroom = [](const base::RegionId &) {
-    return true;
-  };
+  const shifting::ShiftSet::HeadroomCheck Headroom =
+      [](const base::RegionId &) { return true; };
   std::uint64_t Caller = 1;
   measure("shift: route with two plans", 1000000, [&] {
     Caller = Caller * 6364136223846793005ULL + 1;
--- a/bench/decisions/PlacementTrial.cpp
+++ b/bench/decisions/PlacementTrial.cpp
@@ -84,8 +84,8 @@
       Specs.push_back(
           {base::TargetId("target-" + std::to_string(Target)), Slots, false});
     TargetPool::Limits Set;
-    Set.HomeFirst_ = Used.HomeFirst_;
-    Set.Spare_ = Used.Spare_;
+    Set.PreferHomeSlots_ = Used.HomeFirst_;
+    Set.FreeSlotMargin_ = Used.Spare_;
     for (std::uint32_t Host = 0; Host < Hosts; ++Host) {
       Pools_.push_back(std::make_unique<TargetPool>(Names_[Host], Set));
       Pools_.back()->setTargets(Specs, base::TimePoint(1s));
@@ -185,7 +185,7 @@
       Lines_[New->Host_].push_front(New);
       return;
     }
-    Pools_[New->Host_]->started(*Chosen);
+    Pools_[New->Host_]->recordStart(*Chosen);
     MostInFlight_ = std::max(MostInFlight_, ++InFlight_);
     New->Sent_ = Now;
     const TargetIndex To = *Chosen;
@@ -207,7 +207,7 @@
     ++Sheds_;
     Time_.at(Now + OneWay, [this, To, New](base::TimePoint Then) {
       --InFlight_;
-      Pools_[New->Host_]->finished(To, Outcome::Shed, 2 * OneWay, Then);
+      Pools_[New->Host_]->recordFinish(To, Outcome::Shed, 2 * OneWay, Then);
       New->Tried_.push_back(To);
       if (New->Tried_.size() > MostResends) {
         New->Tried_.clear();
@@ -230,8 +230,8 @@
       }
       Time_.at(End + OneWay, [this, At, New](base::TimePoint Then) {
         --InFlight_;
-        Pools_[New->Host_]->finished(At, Outcome::Good, Then - New->Sent_,
-                                     Then);
+        Pools_[New->Host_]->recordFinish(At, Outcome::Success,
+                                         Then - New->Sent_, Then);
         Latency_.add(Then - New->Arrived_);
         drain(New->Host_, Then);
       });
@@ -263,7 +263,7 @@
       Time_.at(Now + 1ms, [this, From, Counts](base::TimePoint Then) {
         for (std::uint32_t To = 0; To < Hosts; ++To)
           if (To != From)
-            Pools_[To]->heard(Names_[From], Counts, Then);
+            Pools_[To]->recordPeerLoads(Names_[From], Counts, Then);
       });
     }
     Time_.at(Now + Policy_.Gossip_,
@@ -278,7 +278,7 @@
       if (Policy_.Way_ != Way::Pool)
         continue;
       for (const auto &Pool : Pools_)
-        Pool->reported(Each, Reports_[Each], Now);
+        Pool->recordReport(Each, Reports_[Each], Now);
     }
     Time_.at(Now + Policy_.Reports_,
              [this](base::TimePoint Next) { report(Next); });
--- a/libs/dispatch/DispatchLearning.cpp
+++ b/libs/dispatch/DispatchLearning.cpp
@@ -53,7 +53,7 @@
     serviceAt(Request.Service_)
         .Loads_.reported(Target->Region_, Target->Load_.othersPerSlot(), Now);
   }
-  switch (Report.End_) {
+  switch (Report.Outcome_) {
   case SendEnd::Answered:
     Suspects_.recordResponse(Request.Fingerprint_);
     if (Report.Status_ >= FirstServerFailure) {
@@ -83,7 +83,7 @@
   case SendEnd::LostAfterPartialWrite:
   case SendEnd::LostBeforeResponse:
     Target->Trust_.failed(Now);
-    if (!Report.Silent_)
+    if (!Report.TimedOut_)
       noteLoss(Request, Target->Record_.Id_, Now);
     break;
   case SendEnd::ResponseTruncated:
--- a/libs/dispatch/DispatchSteering.cpp
+++ b/libs/dispatch/DispatchSteering.cpp
@@ -101,12 +101,12 @@
   Request.BodyBytes_ = Arrived.BodyBytes_;
   Request.Homes_ = Arrived.Homes_;
   Request.Deadline_ = Arrived.Deadline_;
-  Request.Objective_ = Arrived.Objective_ > base::Duration::zero()
-                           ? Arrived.Arrived_ + Arrived.Objective_
+  Request.Objective_ = Arrived.LatencyObjective_ > base::Duration::zero()
+                           ? Arrived.ArrivedAt_ + Arrived.LatencyObjective_
                            : Arrived.Deadline_;
-  Request.StatedObjective_ = Arrived.Objective_;
+  Request.StatedObjective_ = Arrived.LatencyObjective_;
   Request.Idempotent_ = Arrived.Idempotent_;
-  Request.MaximumSends_ = std::max(1U, Arrived.MaximumSends_);
+  Request.MaximumSends_ = std::max(1U, Arrived.MaxSends_);
   if (Arrived.Customer_.empty())
     return admit(Ticket, Request, Now);
   const RateVerdict Verdict = Rates_.take(Arrived.Customer_, Now);
@@ -229,11 +229,12 @@
   Made.Reason_ = Chosen->Reason_;
   Made.SettingsVersion_ = Intent_ ? Intent_->Version_ : 0;
   if (Request.Idempotent_ && Request.Sends_ < Request.MaximumSends_)
-    Made.PatienceUntil_ = Now + patienceFor(Request, *Chosen);
+    Made.ResponseDeadline_ = Now + patienceFor(Request, *Chosen);
   return Made;
 }
 
-bool DispatchSteering::mayAbandon(std::uint64_t Ticket, base::TimePoint Now) {
+bool DispatchSteering::mayAbandonSend(std::uint64_t Ticket,
+                                      base::TimePoint Now) {
   const std::lock_guard Guard(Lock_);
   const auto Found = Flights_.find(Ticket);
   if (Found == Flights_.end())
@@ -249,8 +250,7 @@
 /// Failure without it: the target said that it leaves while the first send was
 /// at work there, and the second reached it after all work was to have ended;
 /// and second sends on dead connections were in nobody's budget.
-bool DispatchSteering::mayRepeat(std::uint64_t Ticket,
-                                 base::TimePoint /*Now*/) {
+bool DispatchSteering::mayHedge(std::uint64_t Ticket, base::TimePoint /*Now*/) {
   const std::lock_guard Guard(Lock_);
   const auto Found = Flights_.find(Ticket);
   if (Found == Flights_.end() || Found->second.Tried_.empty())
@@ -284,7 +284,7 @@
   if (OwnFailure)
     return Request.Idempotent_ && Request.Sends_ < Request.MaximumSends_;
   const retrying::RetryVerdict Verdict = retrying::evaluateRetry(
-      {Report.End_, Request.Idempotent_, Report.AnswerStarted_});
+      {Report.Outcome_, Request.Idempotent_, Report.AnswerStarted_});
   return Verdict.mayRetry() && Request.Sends_ < Request.MaximumSends_;
 }
 
@@ -311,7 +311,7 @@
     Request.Tried_.pop_back();
   const retrying::Ran Ran =
       retrying::evaluateRetry(
-          {Report.End_, Request.Idempotent_, Report.AnswerStarted_})
+          {Report.Outcome_, Request.Idempotent_, Report.AnswerStarted_})
           .Ran_;
   Request.MayHaveRun_ = Request.MayHaveRun_ || Ran != retrying::Ran::No;
   bool Again = mayResend(Request, Report) && Request.Misses_ <= MostMisses;
--- a/libs/dispatch/DispatchSteering.h
+++ b/libs/dispatch/DispatchSteering.h
@@ -103,8 +103,8 @@
                             const steering::SendReport &Report,
                             base::TimePoint Now,
                             std::vector<steering::Wakeup> &Woken) override;
-  bool mayAbandon(std::uint64_t Ticket, base::TimePoint Now) override;
-  bool mayRepeat(std::uint64_t Ticket, base::TimePoint Now) override;
+  bool mayAbandonSend(std::uint64_t Ticket, base::TimePoint Now) override;
+  bool mayHedge(std::uint64_t Ticket, base::TimePoint Now) override;
   void cancel(std::uint64_t Ticket, base::TimePoint Now) override;
   void tick(base::TimePoint Now, std::vector<steering::Wakeup> &Woken) override;
 
--- a/libs/dispatch/DispatchTokens.cpp
+++ b/libs/dispatch/DispatchTokens.cpp
@@ -20,7 +20,7 @@
 Decision DispatchSteering::refuseOverRate(std::uint64_t Ticket,
                                           base::Duration Wait) {
   Flights_.erase(Ticket);
-  return refuse(Refusal::OverRate, std::max(Wait, LeastRateWait), false);
+  return refuse(Refusal::RateLimited, std::max(Wait, LeastRateWait), false);
 }
 
 Decision DispatchSteering::awaitToken(std::uint64_t Ticket, TokenWait Wanted,
--- a/libs/exchange/ExchangeCodec.cpp
+++ b/libs/exchange/ExchangeCodec.cpp
@@ -103,7 +103,7 @@
     Json::Value Entry(Json::objectValue);
     Entry["s"] = Each.Service_.name();
     Entry["r"] = Each.Region_.name();
-    Entry["n"] = Each.Spare_;
+    Entry["n"] = Each.Free_;
     Made.append(std::move(Entry));
   }
   return Made;
@@ -133,7 +133,7 @@
   return Made;
 }
 
-void readRound(ObjectReader &Reader, steering::HostRound &Into) {
+void readRound(ObjectReader &Reader, steering::HostLoadUpdate &Into) {
   Into.Host_ = Reader.id<base::HostId>("h");
   for (const Json::Value &Each : Reader.list("l")) {
     ObjectReader Entry(Each);
@@ -144,9 +144,9 @@
   }
   for (const Json::Value &Each : Reader.list("s")) {
     ObjectReader Entry(Each);
-    Into.Spare_.push_back({Entry.id<base::ServiceId>("s"),
-                           Entry.id<base::RegionId>("r"),
-                           Entry.smallNumber("n")});
+    Into.SpareSlots_.push_back({Entry.id<base::ServiceId>("s"),
+                                Entry.id<base::RegionId>("r"),
+                                Entry.smallNumber("n")});
     Reader.require(Entry.whole());
   }
 }
@@ -178,7 +178,7 @@
   Json::Value Made(Json::objectValue);
   Made["h"] = From.Round_.Host_.name();
   Made["l"] = loadsToJson(From.Round_.Loads_);
-  Made["s"] = spareToJson(From.Round_.Spare_);
+  Made["s"] = spareToJson(From.Round_.SpareSlots_);
   Made["o"] = offersToJson(From.Offers_);
   Made["c"] = evidenceToJson(From.Evidence_);
   Made["e"] = Json::Value(static_cast<Json::UInt64>(From.Entered_));
@@ -194,33 +194,33 @@
   });
 }
 
-std::string ExchangeCodec::encode(const steering::SlotAsk &From) {
+std::string ExchangeCodec::encode(const steering::SlotRequest &From) {
   Json::Value Made(Json::objectValue);
-  Made["a"] = From.Asker_.name();
-  Made["ar"] = From.AskerRegion_.name();
+  Made["a"] = From.Requester_.name();
+  Made["ar"] = From.RequesterRegion_.name();
   Made["d"] = From.Donor_.name();
   Made["s"] = From.Service_.name();
   Made["r"] = From.Region_.name();
   Made["n"] = From.Slots_;
-  Made["t"] = From.Recalled_.name();
+  Made["t"] = From.RecallTarget_.name();
   return Codec::write(Made);
 }
 
-std::optional<steering::SlotAsk>
+std::optional<steering::SlotRequest>
 ExchangeCodec::decodeSlotAsk(std::string_view Text) {
-  return decode<steering::SlotAsk>(
-      Text, [](ObjectReader &Reader, steering::SlotAsk &Into) {
-        Into.Asker_ = Reader.id<base::HostId>("a");
-        Into.AskerRegion_ = Reader.id<base::RegionId>("ar");
+  return decode<steering::SlotRequest>(
+      Text, [](ObjectReader &Reader, steering::SlotRequest &Into) {
+        Into.Requester_ = Reader.id<base::HostId>("a");
+        Into.RequesterRegion_ = Reader.id<base::RegionId>("ar");
         Into.Donor_ = Reader.id<base::HostId>("d");
         Into.Service_ = Reader.id<base::ServiceId>("s");
         Into.Region_ = Reader.id<base::RegionId>("r");
         Into.Slots_ = Reader.smallNumber("n");
-        Into.Recalled_ = Reader.id<base::TargetId>("t");
+        Into.RecallTarget_ = Reader.id<base::TargetId>("t");
       });
 }
 
-std::string ExchangeCodec::encode(const steering::SlotGift &From) {
+std::string ExchangeCodec::encode(const steering::SlotGrant &From) {
   Json::Value Made(Json::objectValue);
   Made["d"] = From.Donor_.name();
   Made["g"] = From.Receiver_.name();
@@ -230,17 +230,17 @@
   for (const steering::SlotCount &Each : From.Counts_) {
     Json::Value Entry(Json::objectValue);
     Entry["t"] = Each.Target_.name();
-    Entry["n"] = Each.Given_;
+    Entry["n"] = Each.TotalGranted_;
     Counts.append(std::move(Entry));
   }
   Made["c"] = std::move(Counts);
   return Codec::write(Made);
 }
 
-std::optional<steering::SlotGift>
+std::optional<steering::SlotGrant>
 ExchangeCodec::decodeSlotGift(std::string_view Text) {
-  return decode<steering::SlotGift>(
-      Text, [](ObjectReader &Reader, steering::SlotGift &Into) {
+  return decode<steering::SlotGrant>(
+      Text, [](ObjectReader &Reader, steering::SlotGrant &Into) {
         Into.Donor_ = Reader.id<base::HostId>("d");
         Into.Receiver_ = Reader.id<base::HostId>("g");
         Into.Service_ = Reader.id<base::ServiceId>("s");
--- a/libs/exchange/ExchangeCodec.h
+++ b/libs/exchange/ExchangeCodec.h
@@ -21,11 +21,12 @@
   static std::string encode(const HostReport &From);
   static std::optional<HostReport> decodeReport(std::string_view Text);
 
-  static std::string encode(const steering::SlotAsk &From);
-  static std::optional<steering::SlotAsk> decodeSlotAsk(std::string_view Text);
+  static std::string encode(const steering::SlotRequest &From);
+  static std::optional<steering::SlotRequest>
+  decodeSlotAsk(std::string_view Text);
 
-  static std::string encode(const steering::SlotGift &From);
-  static std::optional<steering::SlotGift>
+  static std::string encode(const steering::SlotGrant &From);
+  static std::optional<steering::SlotGrant>
   decodeSlotGift(std::string_view Text);
 
   static std::string encode(const budget::ShareRequest &From);
--- a/libs/exchange/ExchangeNode.cpp
+++ b/libs/exchange/ExchangeNode.cpp
@@ -120,7 +120,7 @@
   if (Epoch == 0)
     return;
   Parts_.Rates_.renewLease(Epoch, Parts_.LeaseExpiry_(Epoch), Now);
-  if (Parts_.Steering_.fitsEpoch())
+  if (Parts_.Steering_.conformsToEpoch())
     Epochs_.entered(Self_, Epoch);
   if (Settled_ == Epoch || !Epochs_.settled())
     return;
@@ -138,7 +138,7 @@
   while (!Stopped_) {
     const base::TimePoint Now = SystemClock::monotonicNow();
     followEpoch(Now);
-    for (steering::SlotAsk &Each : Parts_.Steering_.slotAsks(Now))
+    for (steering::SlotRequest &Each : Parts_.Steering_.slotRequests(Now))
       if (const auto Address = addressOf(Each.Donor_))
         spawn(askSlots(*Address, std::move(Each)));
     for (const budget::ShareRequest &Each : Parts_.Rates_.dueRequests(Now))
@@ -169,11 +169,11 @@
 
 HostReport ExchangeNode::report(base::TimePoint Now) const {
   HostReport Report;
-  Report.Round_ = Parts_.Steering_.round(Now);
+  Report.Round_ = Parts_.Steering_.makeLoadUpdate(Now);
   Report.Round_.Host_ = Self_;
   Report.Offers_ = Parts_.Rates_.offers(Now);
-  Report.Evidence_ = Parts_.Steering_.suspects().evidence(Now);
-  Report.Entered_ = Parts_.Steering_.fitsEpoch() ? Epochs_.epoch() : 0;
+  Report.Evidence_ = Parts_.Steering_.crashSuspects().evidence(Now);
+  Report.Entered_ = Parts_.Steering_.conformsToEpoch() ? Epochs_.epoch() : 0;
   return Report;
 }
 
@@ -210,7 +210,7 @@
 }
 
 asio::awaitable<void> ExchangeNode::askSlots(std::string Address,
-                                             steering::SlotAsk Asked) {
+                                             steering::SlotRequest Asked) {
   base::Error Ignored;
   const auto Answer =
       co_await Peers_.call(std::move(Address), SlotsMethod,
@@ -245,8 +245,8 @@
   if (!Report)
     return malformed();
   const base::TimePoint Now = SystemClock::monotonicNow();
-  Parts_.Steering_.heardRound(Report->Round_, Now);
-  Parts_.Steering_.suspects().merge(Report->Evidence_, Now);
+  Parts_.Steering_.receiveLoadUpdate(Report->Round_, Now);
+  Parts_.Steering_.crashSuspects().merge(Report->Evidence_, Now);
   Offers_.update(Report->Round_.Host_, Report->Offers_, Now);
   Epochs_.entered(Report->Round_.Host_, Report->Entered_);
   return {0, Nothing};
@@ -257,7 +257,7 @@
   if (!Asked)
     return malformed();
   const auto Gift =
-      Parts_.Steering_.giveSlots(*Asked, SystemClock::monotonicNow());
+      Parts_.Steering_.grantSlots(*Asked, SystemClock::monotonicNow());
   return {0, Gift ? ExchangeCodec::encode(*Gift) : Nothing};
 }
 
--- a/libs/exchange/ExchangeNode.h
+++ b/libs/exchange/ExchangeNode.h
@@ -82,7 +82,7 @@
   Task askLoop();
   Task reportLoop();
   Task tell(std::string Address, std::string Report);
-  Task askSlots(std::string Address, steering::SlotAsk Asked);
+  Task askSlots(std::string Address, steering::SlotRequest Asked);
   Task askRate(std::string Address, budget::ShareRequest Asked);
 
   void bind(fleet::RpcDispatcher &Handlers);
--- a/libs/exchange/HostReport.cpp
+++ b/libs/exchange/HostReport.cpp
@@ -31,9 +31,9 @@
   };
   for (const steering::PeerLoad &Each : Report.Round_.Loads_)
     Add(Each.Target_.name(), Each.InFlight_);
-  for (const steering::SpareSlots &Each : Report.Round_.Spare_) {
+  for (const steering::SpareSlots &Each : Report.Round_.SpareSlots_) {
     Add(Each.Service_.name(), 0);
-    Add(Each.Region_.name(), Each.Spare_);
+    Add(Each.Region_.name(), Each.Free_);
   }
   for (const budget::SpareOffer &Each : Report.Offers_) {
     Add(Each.Budget_, coarse(Each.Rate_));
--- a/libs/exchange/HostReport.h
+++ b/libs/exchange/HostReport.h
@@ -13,7 +13,7 @@
 /// What a host tells its peers of itself, again and again: lost, late or
 /// doubled it does no harm, as the next one says all of it anew.
 struct HostReport {
-  steering::HostRound Round_;
+  steering::HostLoadUpdate Round_;
   std::vector<budget::SpareOffer> Offers_;
   std::vector<retrying::CrashEvidence> Evidence_;
   /// The newest membership epoch that the host stands in with all it uses.
--- a/libs/gateway/Forwarding.cpp
+++ b/libs/gateway/Forwarding.cpp
@@ -66,16 +66,16 @@
   Request_.Path_ = Read.Path_;
   Request_.CallerHash_ =
       base::stableHash(Identity.Key_.name(), Caller.address());
-  Request_.Preference_ = std::move(Found.Preference_);
+  Request_.PreferredRegions_ = std::move(Found.Preference_);
   ServiceDeadline_ = Found.Deadline_;
   base::Duration Allowed = Read.Deadline_.value_or(ServiceDeadline_);
   if (Found.Timeout_)
     Allowed = std::min(Allowed, *Found.Timeout_);
-  Request_.Arrived_ = Now;
+  Request_.ArrivedAt_ = Now;
   Request_.Deadline_ = Now + Allowed;
   Request_.Rule_ = std::move(Found.Name_);
-  Request_.Objective_ = Found.Objective_;
-  Request_.MaximumSends_ = Found.MaximumSends_;
+  Request_.LatencyObjective_ = Found.Objective_;
+  Request_.MaxSends_ = Found.MaximumSends_;
   Request_.Priority_ = Identity.Priority_.value_or(Found.Priority_);
   if (Found.ByObject_ && !Read.ObjectKey_.empty())
     Request_.ObjectHash_ =
@@ -205,7 +205,7 @@
     Shared.Others_.Steering_.cancel(Ticket, Now);
   }
   Decision_ = {};
-  Decision_.Refusal_ = steering::Refusal::DeadlinePassed;
+  Decision_.Refusal_ = steering::Refusal::DeadlineExceeded;
   Decision_.Ran_ = Ran_;
   co_return !HungUp;
 }
@@ -243,15 +243,15 @@
 Task<Ending> Forwarding::send(bool &Again) {
   TargetSend Send(Home_, Caller_, Home_.shared().Pools_.at(Decision_.Address_),
                   Request_.Deadline_, Request_.Id_);
-  Send.bePatientUntil(Decision_.PatienceUntil_, [this] {
+  Send.bePatientUntil(Decision_.ResponseDeadline_, [this] {
     // A host that stops gives up nothing that a target works on.
     GatewayState &Shared = Home_.shared();
     return Shared.isServing() &&
-           Shared.Others_.Steering_.mayAbandon(
+           Shared.Others_.Steering_.mayAbandonSend(
                Decision_.Ticket_, base::SystemClock::monotonicNow());
   });
   Send.repeatIf([this] {
-    return Home_.shared().Others_.Steering_.mayRepeat(
+    return Home_.shared().Others_.Steering_.mayHedge(
         Decision_.Ticket_, base::SystemClock::monotonicNow());
   });
   if (Reader_.isWhole())
--- a/libs/gateway/ProblemDocument.cpp
+++ b/libs/gateway/ProblemDocument.cpp
@@ -47,7 +47,7 @@
     return "This host cannot tell whether the key still holds.";
   case Refusal::UnknownService:
     return "No service takes this request.";
-  case Refusal::OverRate:
+  case Refusal::RateLimited:
     return "The customer's rate is used up.";
   case Refusal::DeadlineTooShort:
     return "The request cannot be done within its deadline.";
@@ -69,7 +69,7 @@
     return "This host is stopping.";
   case Refusal::TargetFailed:
     return "The target failed.";
-  case Refusal::DeadlinePassed:
+  case Refusal::DeadlineExceeded:
     return "The deadline passed.";
   case Refusal::None:
     break;
@@ -86,14 +86,14 @@
     return 401;
   case Refusal::UnknownService:
     return 404;
-  case Refusal::OverRate:
+  case Refusal::RateLimited:
     return 429;
   case Refusal::ClaimHeldElsewhere:
   case Refusal::AlreadyRun:
     return 409;
   case Refusal::TargetFailed:
     return 502;
-  case Refusal::DeadlinePassed:
+  case Refusal::DeadlineExceeded:
     return 504;
   case Refusal::KeysStale:
   case Refusal::DeadlineTooShort:
--- a/libs/gateway/TargetSend.cpp
+++ b/libs/gateway/TargetSend.cpp
@@ -321,7 +321,7 @@
 
 steering::SendReport TargetSend::report(steering::SendOutcome End) const {
   steering::SendReport Made;
-  Made.End_ = End;
+  Made.Outcome_ = End;
   if (Reader_ && AnswerSeen_)
     Made.Status_ = static_cast<int>(Reader_->message().result_int());
   if (Written_ > 0)
@@ -329,7 +329,7 @@
                                           : base::SystemClock::monotonicNow()) -
                  FirstWrite_;
   Made.AnswerBytes_ = Received_;
-  Made.Silent_ = LostPatience_;
+  Made.TimedOut_ = LostPatience_;
   if (Reader_ && AnswerSeen_) {
     const Vocabulary &Names = Home_.shared().Settings_.Names_;
     Made.Load_ = loadOf(Reader_->message(), Names);
--- a/libs/gateway/Worker.cpp
+++ b/libs/gateway/Worker.cpp
@@ -96,7 +96,7 @@
     for (const steering::Wakeup &Each : Unwanted)
       if (Each.Decision_.Action_ == steering::Decision::Action::Send)
         Shared_.Others_.Steering_.finish(
-            Each.Ticket_, {.End_ = steering::SendOutcome::Cancelled}, Now,
+            Each.Ticket_, {.Outcome_ = steering::SendOutcome::Cancelled}, Now,
             Woken);
   }
 }
--- a/libs/operations/OperatorEdits.cpp
+++ b/libs/operations/OperatorEdits.cpp
@@ -62,8 +62,8 @@
   Plan.Cap_ = Read.Cap_;
   Plan.Step_ = Read.Step_;
   Plan.Pace_ = Read.Pace_;
-  Plan.Since_ = Read.Start_;
-  Plan.Reached_ = Read.Reached_;
+  Plan.StateSince_ = Read.Start_;
+  Plan.ReachedShare_ = Read.Reached_;
   Plan.State_ = Read.State_ == settings::ShiftPlan::State::Held ? State::Held
                 : Read.State_ == settings::ShiftPlan::State::Aborted
                     ? State::Aborted
@@ -76,10 +76,11 @@
                         ShiftRequest::Action Action, base::WallPoint Now) {
   using State = shifting::ShiftPlan::State;
   if (Action == ShiftRequest::Action::Start)
-    return Plan.State_ == State::Running ? Plan : shifting::resumed(Plan, Now);
+    return Plan.State_ == State::Running ? Plan
+                                         : shifting::resumePlan(Plan, Now);
   if (Action == ShiftRequest::Action::Pause)
-    return Plan.State_ == State::Held ? Plan : shifting::held(Plan, Now);
-  return Plan.State_ == State::Aborted ? Plan : shifting::aborted(Plan, Now);
+    return Plan.State_ == State::Held ? Plan : shifting::holdPlan(Plan, Now);
+  return Plan.State_ == State::Aborted ? Plan : shifting::abortPlan(Plan, Now);
 }
 
 const char *stateName(shifting::ShiftPlan::State State) noexcept {
@@ -215,9 +216,9 @@
     // later comes to the same one as those that saw the plan move.
     const shifting::ShiftPlan Acted = act(Plan, Request.Action_, Now);
     return setInSection(Made, "shift", Name, "reached",
-                        std::to_string(Acted.Reached_), Why) &&
+                        std::to_string(Acted.ReachedShare_), Why) &&
            setInSection(Made, "shift", Name, "start",
-                        settings::formatWallTime(Acted.Since_), Why) &&
+                        settings::formatWallTime(Acted.StateSince_), Why) &&
            setInSection(Made, "shift", Name, "state", stateName(Acted.State_),
                         Why);
   };
--- a/libs/placement/TargetHealth.cpp
+++ b/libs/placement/TargetHealth.cpp
@@ -25,7 +25,7 @@
   Faulty_ += (IsFaulty - Faulty_) * SampleWeight;
   const bool First = Samples_ == 0;
   ++Samples_;
-  if (Seen != Outcome::Good)
+  if (Seen != Outcome::Success)
     return;
   const auto Step = static_cast<double>((Took - Latency_).count());
   Latency_ +=
--- a/libs/placement/TargetHealth.h
+++ b/libs/placement/TargetHealth.h
@@ -10,7 +10,7 @@
 /// How a send to a target ended, as far as it speaks of the target's health.
 enum class Outcome : std::uint8_t {
   /// Answered; the time counts.
-  Good,
+  Success,
   /// The target said that it is full. No sign of ill health.
   Shed,
   /// Answered with its own fault (5xx), or with an unusable answer.
--- a/libs/placement/TargetPool.cpp
+++ b/libs/placement/TargetPool.cpp
@@ -39,7 +39,8 @@
   if (trust(Now) == Trust::Lost)
     return probe(Now, Random);
   const bool Divided = Entries_[Active_.front()].Share_.has_value();
-  if (Limits_.HomeFirst_ && !Divided && tryHome(Excluded, Now, Random, Choice))
+  if (Limits_.PreferHomeSlots_ && !Divided &&
+      tryHome(Excluded, Now, Random, Choice))
     return Choice;
   if (tryTwo(Active_, Excluded, Now, Random, Choice))
     return Choice;
@@ -76,7 +77,8 @@
   }
   const double Load = load(Target, Now);
   // Others' part is an estimate.
-  const bool Free = Each.Own_ < Usable && Load + 1 + Limits_.Spare_ <= Usable;
+  const bool Free =
+      Each.Own_ < Usable && Load + 1 + Limits_.FreeSlotMargin_ <= Usable;
   return {Target, Load / Usable, Free};
 }
 
@@ -152,7 +154,7 @@
   const auto Count = static_cast<std::uint32_t>(Active_.size());
   const std::uint32_t Start = base::drawBelow(Random, Count);
   Weighed Best;
-  for (std::uint32_t Step = 0; Step < std::min(Count, Limits_.MostScanned_);
+  for (std::uint32_t Step = 0; Step < std::min(Count, Limits_.MaxScanned_);
        ++Step) {
     const TargetIndex Target = Active_[(Start + Step) % Count];
     if (!mayUse(Target, Excluded, Now, Choice))
@@ -190,13 +192,14 @@
   return Choice;
 }
 
-void TargetPool::started(TargetIndex Target) noexcept {
+void TargetPool::recordStart(TargetIndex Target) noexcept {
   ++Entries_[Target].Own_;
   ++OwnTotal_;
 }
 
-void TargetPool::finished(TargetIndex Target, Outcome Seen, base::Duration Took,
-                          base::TimePoint Now) noexcept {
+void TargetPool::recordFinish(TargetIndex Target, Outcome Seen,
+                              base::Duration Took,
+                              base::TimePoint Now) noexcept {
   Entry &Each = Entries_[Target];
   assert(Each.Own_ > 0 && "what ends was started");
   --Each.Own_;
@@ -223,8 +226,8 @@
   judge(Target, Now);
 }
 
-void TargetPool::reported(TargetIndex Target, std::uint32_t Load,
-                          base::TimePoint MeasuredAt) noexcept {
+void TargetPool::recordReport(TargetIndex Target, std::uint32_t Load,
+                              base::TimePoint MeasuredAt) noexcept {
   Entry &Each = Entries_[Target];
   if (MeasuredAt <= Each.Report_.At_)
     return;
--- a/libs/placement/TargetPool.h
+++ b/libs/placement/TargetPool.h
@@ -25,7 +25,7 @@
 };
 
 /// A target that was weighed and not taken.
-struct Passed {
+struct PassedOver {
   TargetIndex Target_ = 0;
   std::string_view Reason_;
 };
@@ -39,10 +39,10 @@
   /// With a target: "home", "two-choices", "scan", "suspect-measurement" or
   /// "probe". Without: "all-full", "no-target" or "all-lost".
   std::string_view Reason_;
-  std::array<Passed, MostPassed> Passed_{};
+  std::array<PassedOver, MostPassed> Passed_{};
   std::uint32_t PassedCount_ = 0;
 
-  std::span<const Passed> passed() const noexcept {
+  std::span<const PassedOver> passed() const noexcept {
     return {Passed_.data(), PassedCount_};
   }
 };
@@ -90,14 +90,14 @@
 public:
   struct Limits {
     /// Whether home slots go before the two choices.
-    bool HomeFirst_ = true;
+    bool PreferHomeSlots_ = true;
     /// Slots that must look free, beyond the one to be used, for a host to use
     /// a slot that is not its home. Less than none: what others have in flight
     /// is an estimate, and half a slot too much of it kept requests waiting
     /// beside free slots (docs/measurements/decisions.md).
-    double Spare_ = -0.5;
+    double FreeSlotMargin_ = -0.5;
     /// Most targets looked at when neither home nor draw finds a free slot.
-    std::uint32_t MostScanned_ = 64;
+    std::uint32_t MaxScanned_ = 64;
   };
 
   explicit TargetPool(const base::HostId &Self) : TargetPool(Self, Limits()) {}
@@ -115,7 +115,7 @@
 
   /// Limits this host to its own part of a target's slots. What others do there
   /// then no longer matters, as they keep to their parts. \see
-  /// steering::SlotBook
+  /// steering::SlotTable
   void setShare(TargetIndex Target, std::uint32_t Slots) noexcept {
     Entries_[Target].Share_ = Slots;
   }
@@ -141,20 +141,20 @@
                       base::TimePoint Now, base::Random &Random);
 
   /// A request was sent to a target.
-  void started(TargetIndex Target) noexcept;
+  void recordStart(TargetIndex Target) noexcept;
 
   /// It ended. \param Took  from the first byte written to the last one read.
-  void finished(TargetIndex Target, Outcome Seen, base::Duration Took,
-                base::TimePoint Now) noexcept;
+  void recordFinish(TargetIndex Target, Outcome Seen, base::Duration Took,
+                    base::TimePoint Now) noexcept;
 
   /// A target reported its load: what it works on and holds in line, from all
   /// hosts.
-  void reported(TargetIndex Target, std::uint32_t Load,
-                base::TimePoint MeasuredAt) noexcept;
+  void recordReport(TargetIndex Target, std::uint32_t Load,
+                    base::TimePoint MeasuredAt) noexcept;
 
   /// A peer told what it has in flight.
-  void heard(const base::HostId &Peer, std::span<const InFlight> Counts,
-             base::TimePoint Now) {
+  void recordPeerLoads(const base::HostId &Peer,
+                       std::span<const InFlight> Counts, base::TimePoint Now) {
     Peers_.heard(Peer, Counts, Now);
   }
 
--- a/libs/scenario/BaselineSteering.cpp
+++ b/libs/scenario/BaselineSteering.cpp
@@ -33,7 +33,7 @@
 }
 
 const settings::Target *BaselineSteering::choose(const Sent &Wanted) {
-  for (const base::RegionId &Region : Wanted.Request_.Preference_) {
+  for (const base::RegionId &Region : Wanted.Request_.PreferredRegions_) {
     const auto Found = candidates(Wanted, Region);
     if (Found.empty())
       continue;
@@ -55,7 +55,7 @@
 steering::Decision BaselineSteering::arrive(const steering::Request &Arrived,
                                             base::TimePoint Now) {
   if (Rates_.take(Arrived.Customer_, Now))
-    return refuse(steering::Refusal::OverRate, false);
+    return refuse(steering::Refusal::RateLimited, false);
   const std::uint64_t Ticket = ++LastTicket_;
   Sent &Added = Sent_[Ticket];
   Added.Request_ = Arrived;
@@ -98,22 +98,22 @@
     return {};
   Sent &Failed = Found->second;
   using End = steering::SendOutcome;
-  const bool NotRun = Report.End_ == End::Shed ||
-                      Report.End_ == End::ConnectFailed ||
-                      Report.End_ == End::ClosedBeforeWrite;
+  const bool NotRun = Report.Outcome_ == End::Shed ||
+                      Report.Outcome_ == End::ConnectFailed ||
+                      Report.Outcome_ == End::ClosedBeforeWrite;
   Failed.MayHaveRun_ = Failed.MayHaveRun_ || !NotRun;
   const bool Safe = NotRun || Failed.Request_.Idempotent_;
   const bool TimeLeft =
-      Report.End_ != End::Cancelled && Failed.Request_.Deadline_ > Now;
-  if (Report.End_ != End::Answered && Safe && TimeLeft &&
+      Report.Outcome_ != End::Cancelled && Failed.Request_.Deadline_ > Now;
+  if (Report.Outcome_ != End::Answered && Safe && TimeLeft &&
       Failed.Sends_ < Rules_.Sends_)
     return send(Ticket, Failed);
   const bool MayHaveRun = Failed.MayHaveRun_;
   Sent_.erase(Found);
-  if (Report.End_ == End::Answered)
+  if (Report.Outcome_ == End::Answered)
     return refuse(steering::Refusal::None, true);
-  return refuse(Report.End_ == End::Cancelled
-                    ? steering::Refusal::DeadlinePassed
+  return refuse(Report.Outcome_ == End::Cancelled
+                    ? steering::Refusal::DeadlineExceeded
                     : steering::Refusal::TargetFailed,
                 MayHaveRun);
 }
--- a/libs/scenario/Engine.cpp
+++ b/libs/scenario/Engine.cpp
@@ -216,7 +216,7 @@
   else
     Text += " end=" + std::string(steering::nameOf(Taken.Refusal_));
   Text += " why=" + std::string(Taken.Reason_);
-  for (const steering::PassedOver &Other : Taken.PassedOver_)
+  for (const steering::PassedOverTarget &Other : Taken.PassedOverTargets_)
     Text +=
         " passed=" + Other.Target_.name() + ":" + std::string(Other.Reason_);
   note(Asked, Text);
--- a/libs/scenario/EngineHosts.cpp
+++ b/libs/scenario/EngineHosts.cpp
@@ -24,7 +24,7 @@
   // Poison requests of one load are the same request sent again.
   Made.Fingerprint_ =
       base::stableHash(Load.Label_, Asked.Poison_ ? 0 : Asked.Serial_);
-  Made.Preference_ = Preferences_.at(base::RegionId(Load.From_));
+  Made.PreferredRegions_ = Preferences_.at(base::RegionId(Load.From_));
   Made.Deadline_ = Asked.Deadline_;
   Made.BodyBytes_ = Load.BodyBytes_;
   Made.Idempotent_ = Asked.Idempotent_;
@@ -151,7 +151,7 @@
   note(*Ended.Request_, "target=" + Target.Intent_.Id_.name() +
                             " ended=" + std::to_string(static_cast<int>(End)));
   steering::SendReport Report;
-  Report.End_ = End;
+  Report.Outcome_ = End;
   Report.Status_ = End == steering::SendOutcome::Answered ? 200 : 0;
   Report.Took_ = Events_.now() - Ended.Began_;
   std::vector<steering::Wakeup> Woken;
--- a/libs/scenario/FleetStrategy.cpp
+++ b/libs/scenario/FleetStrategy.cpp
@@ -40,9 +40,9 @@
 steering::ServiceLimits FleetStrategy::firstComeFirstServed() {
   constexpr base::Duration Never = std::chrono::hours(1);
   steering::ServiceLimits Limits;
-  Limits.Line_.SaturationWindow_ = Never;
-  Limits.Line_.SaturatedMaxWait_ = Never;
-  Limits.Line_.NewestFirst_ = false;
+  Limits.Admission_.SaturationWindow_ = Never;
+  Limits.Admission_.SaturatedMaxWait_ = Never;
+  Limits.Admission_.NewestFirst_ = false;
   return Limits;
 }
 
@@ -70,8 +70,8 @@
 
 void FleetStrategy::report(std::size_t Host, const LoadReport &Heard,
                            base::TimePoint) {
-  Hosts_[Host]->reported(Heard.Service_, Heard.Target_, Heard.Load_,
-                         Heard.TakenAt_);
+  Hosts_[Host]->reportTargetLoad(Heard.Service_, Heard.Target_, Heard.Load_,
+                                 Heard.TakenAt_);
 }
 
 void FleetStrategy::tick(base::TimePoint Now) {
@@ -93,11 +93,11 @@
 }
 
 void FleetStrategy::tellPeers(std::size_t From, base::TimePoint Now) {
-  const auto Round =
-      std::make_shared<const steering::HostRound>(Hosts_[From]->round(Now));
+  const auto Round = std::make_shared<const steering::HostLoadUpdate>(
+      Hosts_[From]->makeLoadUpdate(Now));
   const auto Suspects =
       std::make_shared<const std::vector<retrying::CrashEvidence>>(
-          Hosts_[From]->suspects().evidence(Now));
+          Hosts_[From]->crashSuspects().evidence(Now));
   const auto Offers = std::make_shared<const std::vector<budget::SpareOffer>>(
       Rates_[From]->offers(Now));
   for (std::size_t To = 0; To < Hosts_.size(); ++To)
@@ -107,8 +107,8 @@
         Heard.clear();
         for (const budget::SpareOffer &Each : *Offers)
           Heard[Each.Budget_] = Each;
-        Hosts_[To]->heardRound(*Round, Now);
-        Hosts_[To]->suspects().merge(*Suspects, Now);
+        Hosts_[To]->receiveLoadUpdate(*Round, Now);
+        Hosts_[To]->crashSuspects().merge(*Suspects, Now);
       });
 }
 
@@ -121,7 +121,7 @@
 }
 
 void FleetStrategy::askForSlots(std::size_t From, base::TimePoint Now) {
-  for (const steering::SlotAsk &Ask : Hosts_[From]->slotAsks(Now)) {
+  for (const steering::SlotRequest &Ask : Hosts_[From]->slotRequests(Now)) {
     const auto Donor = placeOf(Ask.Donor_);
     if (!Donor)
       continue;
@@ -132,9 +132,9 @@
 }
 
 void FleetStrategy::giveSlots(std::size_t Donor, std::size_t Asker,
-                              const steering::SlotAsk &Ask,
+                              const steering::SlotRequest &Ask,
                               base::TimePoint Now) {
-  const auto Gift = Hosts_[Donor]->giveSlots(Ask, Now);
+  const auto Gift = Hosts_[Donor]->grantSlots(Ask, Now);
   if (!Gift)
     return;
   Peers_.Send_(Donor, Asker, [this, Asker, Given = *Gift, Now] {
@@ -216,7 +216,7 @@
   if (Settled_ || !Rules_.Slots_)
     return;
   for (std::size_t Host = 0; Host < Hosts_.size(); ++Host)
-    if (Peers_.Alive_(Host) && !Hosts_[Host]->fitsEpoch())
+    if (Peers_.Alive_(Host) && !Hosts_[Host]->conformsToEpoch())
       return;
   Settled_ = true;
   for (std::size_t Host = 0; Host < Hosts_.size(); ++Host)
--- a/libs/scenario/FleetStrategy.h
+++ b/libs/scenario/FleetStrategy.h
@@ -52,7 +52,7 @@
   void tellPeers(std::size_t From, base::TimePoint Now);
   void askForSlots(std::size_t From, base::TimePoint Now);
   void giveSlots(std::size_t Donor, std::size_t Asker,
-                 const steering::SlotAsk &Ask, base::TimePoint Now);
+                 const steering::SlotRequest &Ask, base::TimePoint Now);
   void exchangeRates(std::size_t From, base::TimePoint Now);
   void giveRate(std::size_t Donor, std::size_t Asker,
                 const budget::ShareRequest &Ask, base::TimePoint Now);
--- a/libs/scenario/PlainSteering.cpp
+++ b/libs/scenario/PlainSteering.cpp
@@ -7,15 +7,15 @@
 steering::Decision PlainSteering::arrive(const steering::Request &Arrived,
                                          base::TimePoint Now) {
   steering::Request Plain = Arrived;
-  if (LocalOnly_ && Plain.Preference_.size() > 1)
-    Plain.Preference_.resize(1);
+  if (LocalOnly_ && Plain.PreferredRegions_.size() > 1)
+    Plain.PreferredRegions_.resize(1);
   if (!Rates_)
     return Inner_.arrive(Plain, Now);
   const auto Spent = Rates_->spend(
-      steering::FleetSteering::rateBudget(Arrived.Customer_), Now);
+      steering::FleetSteering::rateBudgetName(Arrived.Customer_), Now);
   if (Spent.Result_ != budget::SpendResult::Granted) {
     steering::Decision Refused;
-    Refused.Refusal_ = steering::Refusal::OverRate;
+    Refused.Refusal_ = steering::Refusal::RateLimited;
     return Refused;
   }
   Plain.Customer_ = base::CustomerId(Everyone);
--- a/libs/shifting/ShiftPlan.cpp
+++ b/libs/shifting/ShiftPlan.cpp
@@ -11,11 +11,11 @@
 
 /// \returns how many steps are due at \p Now; the first at once.
 double stepsDue(const ShiftPlan &Plan, base::WallPoint Now) noexcept {
-  if (Now < Plan.Since_)
+  if (Now < Plan.StateSince_)
     return 0;
   if (Plan.Pace_ <= base::Duration::zero())
     return 1;
-  return std::floor(base::toSeconds(Now - Plan.Since_) /
+  return std::floor(base::toSeconds(Now - Plan.StateSince_) /
                     base::toSeconds(Plan.Pace_)) +
          1;
 }
@@ -23,10 +23,10 @@
 ShiftPlan withState(const ShiftPlan &Plan, ShiftPlan::State State,
                     base::WallPoint Now) {
   ShiftPlan Changed = Plan;
-  Changed.Reached_ = plannedFraction(Plan, Now);
+  Changed.ReachedShare_ = plannedFraction(Plan, Now);
   Changed.State_ = State;
   // A plan that has not begun keeps its start.
-  Changed.Since_ = std::max(Now, Plan.Since_);
+  Changed.StateSince_ = std::max(Now, Plan.StateSince_);
   return Changed;
 }
 
@@ -34,7 +34,7 @@
 
 double plannedFraction(const ShiftPlan &Plan, base::WallPoint Now) noexcept {
   const double Moved = Plan.Step_ * stepsDue(Plan, Now);
-  double Fraction = Plan.Reached_;
+  double Fraction = Plan.ReachedShare_;
   if (Plan.State_ == ShiftPlan::State::Running)
     Fraction += Moved;
   if (Plan.State_ == ShiftPlan::State::Aborted)
@@ -42,15 +42,15 @@
   return std::clamp(Fraction, 0.0, std::clamp(Plan.Cap_, 0.0, 1.0));
 }
 
-ShiftPlan held(const ShiftPlan &Plan, base::WallPoint Now) {
+ShiftPlan holdPlan(const ShiftPlan &Plan, base::WallPoint Now) {
   return withState(Plan, ShiftPlan::State::Held, Now);
 }
 
-ShiftPlan resumed(const ShiftPlan &Plan, base::WallPoint Now) {
+ShiftPlan resumePlan(const ShiftPlan &Plan, base::WallPoint Now) {
   return withState(Plan, ShiftPlan::State::Running, Now);
 }
 
-ShiftPlan aborted(const ShiftPlan &Plan, base::WallPoint Now) {
+ShiftPlan abortPlan(const ShiftPlan &Plan, base::WallPoint Now) {
   return withState(Plan, ShiftPlan::State::Aborted, Now);
 }
 
--- a/libs/shifting/ShiftPlan.h
+++ b/libs/shifting/ShiftPlan.h
@@ -29,8 +29,8 @@
   State State_ = State::Running;
   /// When the state began, and the share that was moved by then: the start
   /// and 0 until an operator acts.
-  base::WallPoint Since_;
-  double Reached_ = 0;
+  base::WallPoint StateSince_;
+  double ReachedShare_ = 0;
 
   bool operator==(const ShiftPlan &) const = default;
 };
@@ -41,9 +41,9 @@
 
 /// What an operator's actions make of a plan at \p Now. Each goes on from the
 /// share reached, so that no action moves more than a step at once.
-ShiftPlan held(const ShiftPlan &Plan, base::WallPoint Now);
-ShiftPlan resumed(const ShiftPlan &Plan, base::WallPoint Now);
-ShiftPlan aborted(const ShiftPlan &Plan, base::WallPoint Now);
+ShiftPlan holdPlan(const ShiftPlan &Plan, base::WallPoint Now);
+ShiftPlan resumePlan(const ShiftPlan &Plan, base::WallPoint Now);
+ShiftPlan abortPlan(const ShiftPlan &Plan, base::WallPoint Now);
 
 /// \returns the caller's place in the plan, in [0, 1): it is moved while this
 /// is below the moved share. So a caller moved at one share stays moved at any
--- a/libs/shifting/ShiftRunner.cpp
+++ b/libs/shifting/ShiftRunner.cpp
@@ -86,7 +86,7 @@
 
 std::string_view
 ShiftRunner::settledReason(double Wanted, base::WallPoint Wall) const noexcept {
-  if (Wall < Plan_.Since_ && Plan_.State_ == State::Running)
+  if (Wall < Plan_.StateSince_ && Plan_.State_ == State::Running)
     return "not-begun";
   if (Plan_.State_ == State::Aborted)
     return Wanted < Closeness ? "aborted" : "pace";
--- a/libs/shifting/ShiftSet.cpp
+++ b/libs/shifting/ShiftSet.cpp
@@ -31,7 +31,7 @@
       continue;
     ShiftPlan GoingBack = Each.plan();
     GoingBack.State_ = ShiftPlan::State::Aborted;
-    GoingBack.Reached_ = 0;
+    GoingBack.ReachedShare_ = 0;
     Each.replacePlan(GoingBack);
     Fresh.push_back(Each);
   }
@@ -42,7 +42,8 @@
   Runners_ = std::move(Fresh);
 }
 
-void ShiftSet::adopt(const base::PlanId &Plan, double PeersFraction) noexcept {
+void ShiftSet::adoptPeerShare(const base::PlanId &Plan,
+                              double PeersFraction) noexcept {
   for (ShiftRunner &Each : Runners_)
     if (Each.plan().Id_ == Plan)
       Each.adopt(PeersFraction);
@@ -70,7 +71,7 @@
 
 ShiftChoice ShiftSet::route(std::uint64_t CallerHash,
                             const base::RegionId &Home,
-                            const HeadroomOf &Headroom) {
+                            const HeadroomCheck &Headroom) {
   for (ShiftRunner &Each : Runners_) {
     const ShiftPlan &Plan = Each.plan();
     if (Plan.From_ != Home)
--- a/libs/shifting/ShiftSet.h
+++ b/libs/shifting/ShiftSet.h
@@ -41,14 +41,14 @@
   using ViewOf = std::function<RegionsView(const base::RegionId &Receiver,
                                            const base::RegionId &Sender)>;
   /// Takes a token of the region's headroom where there is one.
-  using HeadroomOf = std::function<bool(const base::RegionId &)>;
+  using HeadroomCheck = std::function<bool(const base::RegionId &)>;
 
   /// Sets the plans; what each has reached is kept by its id. A plan that is
   /// no longer there goes back at its own step and pace.
   void setPlans(std::span<const ShiftPlan> Plans);
 
   /// Begins where peers are, with a plan that this host does not know yet.
-  void adopt(const base::PlanId &Plan, double PeersFraction) noexcept;
+  void adoptPeerShare(const base::PlanId &Plan, double PeersFraction) noexcept;
 
   /// Steps all plans. To be called about once a second.
   std::vector<PlanStatus> tick(const ViewOf &View, base::TimePoint Now,
@@ -56,7 +56,7 @@
 
   /// \returns where the request of a caller of \p Home goes.
   ShiftChoice route(std::uint64_t CallerHash, const base::RegionId &Home,
-                    const HeadroomOf &Headroom);
+                    const HeadroomCheck &Headroom);
 
   bool empty() const noexcept { return Runners_.empty(); }
 
--- a/libs/steering/FleetSteering.cpp
+++ b/libs/steering/FleetSteering.cpp
@@ -48,7 +48,7 @@
   Rates_.applyIntent(*Intent, Now);
   if (Settings_.Rates_)
     for (const auto &[Id, Customer] : Intent->Customers_)
-      Settings_.Rates_->setTotal(rateBudget(Id),
+      Settings_.Rates_->setTotal(rateBudgetName(Id),
                                  budget::RateTotal::fromRequests(
                                      Customer.RatePerSecond_, Customer.Burst_),
                                  Now);
@@ -74,15 +74,16 @@
     Service->setPeers(Peers);
 }
 
-HostRound FleetSteering::round(base::TimePoint Now) const {
-  HostRound Round;
+HostLoadUpdate FleetSteering::makeLoadUpdate(base::TimePoint Now) const {
+  HostLoadUpdate Round;
   Round.Host_ = Settings_.Host_;
   for (const ServicePointer &Service : services())
     Service->addRound(Round, Now);
   return Round;
 }
 
-void FleetSteering::heardRound(const HostRound &Round, base::TimePoint Now) {
+void FleetSteering::receiveLoadUpdate(const HostLoadUpdate &Round,
+                                      base::TimePoint Now) {
   for (const ServicePointer &Service : services())
     Service->heardRound(Round, Now);
 }
@@ -101,7 +102,7 @@
     Service->enterEpoch(Epoch, Members);
 }
 
-bool FleetSteering::fitsEpoch() const {
+bool FleetSteering::conformsToEpoch() const {
   return std::ranges::all_of(
       services(), [](const ServicePointer &Each) { return Each->fits(); });
 }
@@ -117,30 +118,30 @@
     Service->settle(Epoch);
 }
 
-std::vector<SlotAsk> FleetSteering::slotAsks(base::TimePoint Now) {
-  std::vector<SlotAsk> Asks;
+std::vector<SlotRequest> FleetSteering::slotRequests(base::TimePoint Now) {
+  std::vector<SlotRequest> Asks;
   for (const ServicePointer &Service : services())
     Service->addAsks(Asks, Now);
   return Asks;
 }
 
-std::optional<SlotGift> FleetSteering::giveSlots(const SlotAsk &Asked,
-                                                 base::TimePoint Now) {
+std::optional<SlotGrant> FleetSteering::grantSlots(const SlotRequest &Asked,
+                                                   base::TimePoint Now) {
   const ServicePointer Service = find(Asked.Service_);
   if (!Service)
     return std::nullopt;
-  SlotGift Gift;
+  SlotGrant Gift;
   Gift.Counts_ = Service->giveSlots(Asked, Now);
   if (Gift.Counts_.empty())
     return std::nullopt;
   Gift.Donor_ = Settings_.Host_;
-  Gift.Receiver_ = Asked.Asker_;
+  Gift.Receiver_ = Asked.Requester_;
   Gift.Service_ = Asked.Service_;
   Gift.Region_ = Asked.Region_;
   return Gift;
 }
 
-void FleetSteering::acceptSlots(const SlotGift &Gift, base::TimePoint Now,
+void FleetSteering::acceptSlots(const SlotGrant &Gift, base::TimePoint Now,
                                 std::vector<Wakeup> &Woken) {
   if (Gift.Receiver_ != Settings_.Host_)
     return;
@@ -148,9 +149,10 @@
     Service->acceptSlots(Gift, Now, Woken);
 }
 
-void FleetSteering::reported(const base::ServiceId &Service,
-                             const base::TargetId &Target, std::uint32_t Load,
-                             base::TimePoint MeasuredAt) {
+void FleetSteering::reportTargetLoad(const base::ServiceId &Service,
+                                     const base::TargetId &Target,
+                                     std::uint32_t Load,
+                                     base::TimePoint MeasuredAt) {
   if (const ServicePointer Known = find(Service))
     Known->reported(Target, Load, MeasuredAt);
 }
@@ -169,7 +171,7 @@
 admission::RateCheck FleetSteering::checkRate(const base::CustomerId &Customer,
                                               base::TimePoint Now) {
   if (Settings_.Rates_)
-    return rateCheckOf(Settings_.Rates_->spend(rateBudget(Customer), Now));
+    return rateCheckOf(Settings_.Rates_->spend(rateBudgetName(Customer), Now));
   const auto ComeBackAfter = Rates_.take(Customer, Now);
   return {!ComeBackAfter, ComeBackAfter.value_or(base::Duration())};
 }
@@ -181,10 +183,10 @@
   Context.Limits_ = Settings_.Limits_;
   Context.Suspects_ = &Suspects_;
   if (Settings_.Rates_)
-    Context.RateAgain_ = [this](const base::CustomerId &Customer,
-                                base::TimePoint Now) {
+    Context.RecheckRate_ = [this](const base::CustomerId &Customer,
+                                  base::TimePoint Now) {
       return rateCheckOf(
-          Settings_.Rates_->retrySpend(rateBudget(Customer), Now));
+          Settings_.Rates_->retrySpend(rateBudgetName(Customer), Now));
     };
   return Context;
 }
--- a/libs/steering/FleetSteering.h
+++ b/libs/steering/FleetSteering.h
@@ -48,7 +48,7 @@
   void setWallTime(base::WallPoint Wall, base::TimePoint Now);
 
   /// \returns the budget of a customer's rate in RateBudgets.
-  static std::string rateBudget(const base::CustomerId &Customer) {
+  static std::string rateBudgetName(const base::CustomerId &Customer) {
     return "rate/" + Customer.name();
   }
 
@@ -65,34 +65,36 @@
   void setPeers(std::span<const base::HostId> Peers);
 
   /// \returns what to tell all peers now; to be called about every 50 ms.
-  HostRound round(base::TimePoint Now) const;
-  void heardRound(const HostRound &Round, base::TimePoint Now);
+  HostLoadUpdate makeLoadUpdate(base::TimePoint Now) const;
+  void receiveLoadUpdate(const HostLoadUpdate &Round, base::TimePoint Now);
 
   // Division of targets' slots among hosts. Without an epoch hosts go by what
-  // the others say they have in flight. \see SlotBook
+  // the others say they have in flight. \see SlotTable
 
   /// Enters a membership epoch.
   /// \param Members  all hosts of it, this one included.
   void enterEpoch(std::uint64_t Epoch, std::span<const Member> Members);
   /// \returns true where nothing older than the epoch is in use any more, so
   /// that this host may tell the others that it has entered.
-  bool fitsEpoch() const;
+  bool conformsToEpoch() const;
   /// All hosts of older epochs have entered, or are gone.
   void settleEpoch(std::uint64_t Epoch);
   /// \returns what to ask of peers now, each ask to its Donor_; to be called
   /// every few milliseconds.
-  std::vector<SlotAsk> slotAsks(base::TimePoint Now);
+  std::vector<SlotRequest> slotRequests(base::TimePoint Now);
   /// \returns what to tell the asker; empty where nothing can be given.
-  std::optional<SlotGift> giveSlots(const SlotAsk &Asked, base::TimePoint Now);
-  void acceptSlots(const SlotGift &Gift, base::TimePoint Now,
+  std::optional<SlotGrant> grantSlots(const SlotRequest &Asked,
+                                      base::TimePoint Now);
+  void acceptSlots(const SlotGrant &Gift, base::TimePoint Now,
                    std::vector<Wakeup> &Woken);
 
   /// A target told how many requests it works on or holds.
-  void reported(const base::ServiceId &Service, const base::TargetId &Target,
-                std::uint32_t Load, base::TimePoint MeasuredAt);
+  void reportTargetLoad(const base::ServiceId &Service,
+                        const base::TargetId &Target, std::uint32_t Load,
+                        base::TimePoint MeasuredAt);
 
   /// Requests that are taken to crash targets; peers merge each other's.
-  retrying::CrashSuspects &suspects() noexcept { return Suspects_; }
+  retrying::CrashSuspects &crashSuspects() noexcept { return Suspects_; }
 
   Decision arrive(const Request &Arrived, base::TimePoint Now) override;
   Decision finish(std::uint64_t Ticket, const SendReport &Report,
--- a/libs/steering/RegionPool.cpp
+++ b/libs/steering/RegionPool.cpp
@@ -116,8 +116,8 @@
   const auto Known = Peers_.find(Host);
   if (Known == Peers_.end())
     return;
-  Known->second.Spare_ = Told.Spare_;
-  Known->second.Used_ = Told.Used_;
+  Known->second.Spare_ = Told.Free_;
+  Known->second.Used_ = Told.InUse_;
   SpareHeardAt_ = Now;
 }
 
@@ -162,7 +162,7 @@
   return Best;
 }
 
-void RegionPool::addAsks(std::vector<SlotAsk> &Asks, base::TimePoint Now) {
+void RegionPool::addAsks(std::vector<SlotRequest> &Asks, base::TimePoint Now) {
   if (!Slots_.divides())
     return;
   addRecalls(Asks, Now);
@@ -177,17 +177,18 @@
     Best->AskedAt_ = Now;
     Best->Spare_ -= std::min(Best->Spare_, Slots);
     Missing -= Slots;
-    SlotAsk Ask;
-    Ask.Asker_ = Self_;
+    SlotRequest Ask;
+    Ask.Requester_ = Self_;
     Ask.Donor_ = Donor;
     Ask.Region_ = Region_;
     Ask.Slots_ = Slots;
-    Ask.AskerUses_ = Targets_.ownTotal();
+    Ask.RequesterInUse_ = Targets_.ownTotal();
     Asks.push_back(Ask);
   }
 }
 
-void RegionPool::addRecalls(std::vector<SlotAsk> &Asks, base::TimePoint Now) {
+void RegionPool::addRecalls(std::vector<SlotRequest> &Asks,
+                            base::TimePoint Now) {
   if (Peers_.empty() || Now - RecalledAt_ < AskAgainAfar)
     return;
   // One peer at a time: two that gave would leave this host with a slot that a
@@ -199,26 +200,26 @@
     if (Slots_.heldOnceSettled(Name) >= 0)
       continue;
     RecalledAt_ = Now;
-    SlotAsk Ask;
-    Ask.Asker_ = Self_;
+    SlotRequest Ask;
+    Ask.Requester_ = Self_;
     Ask.Donor_ = Donor->first;
     Ask.Region_ = Region_;
     Ask.Slots_ = 1;
-    Ask.Recalled_ = Name;
+    Ask.RecallTarget_ = Name;
     Asks.push_back(Ask);
   }
   if (RecalledAt_ == Now)
     ++Recalls_;
 }
 
-std::uint32_t RegionPool::mayGive(const SlotAsk &Asked,
+std::uint32_t RegionPool::mayGive(const SlotRequest &Asked,
                                   base::TimePoint Now) const {
   const std::uint32_t Free = spare(Now);
   if (goesFirst(Asked))
     return std::min(Asked.Slots_, Free);
   if (Line_.queued() > 0)
     return 0;
-  if (Asked.AskerRegion_ == Region_)
+  if (Asked.RequesterRegion_ == Region_)
     return std::min(Asked.Slots_, (Free + 1) / 2);
   std::int64_t Held = 0;
   for (const placement::TargetIndex Target : Targets_.active())
@@ -228,52 +229,53 @@
   return Free > Kept ? std::min(Asked.Slots_, Free - Kept) : 0;
 }
 
-bool RegionPool::goesFirst(const SlotAsk &Asked) const noexcept {
+bool RegionPool::goesFirst(const SlotRequest &Asked) const noexcept {
   // A region's slots are its own hosts' first: steered work that kept them
   // while its own line stands would leave the region's callers waiting for
   // room that other regions' callers use.
-  const bool AskerNear = Asked.AskerRegion_ == Region_;
+  const bool AskerNear = Asked.RequesterRegion_ == Region_;
   return AskerNear &&
-         (!IsNear_ || 2 * Asked.AskerUses_ + 1 < Targets_.ownTotal());
+         (!IsNear_ || 2 * Asked.RequesterInUse_ + 1 < Targets_.ownTotal());
 }
 
-std::vector<SlotCount> RegionPool::give(const SlotAsk &Asked,
+std::vector<SlotCount> RegionPool::give(const SlotRequest &Asked,
                                         base::TimePoint Now) {
   std::vector<SlotCount> Told;
-  if (!Peers_.contains(Asked.Asker_))
+  if (!Peers_.contains(Asked.Requester_))
     return Told;
-  const bool Recall = !Asked.Recalled_.empty();
+  const bool Recall = !Asked.RecallTarget_.empty();
   if (Recall || (spare(Now) == 0 && goesFirst(Asked)))
     return giveKept(Asked, Now);
   std::uint32_t Left = mayGive(Asked, Now);
   for (const placement::TargetIndex Target : Targets_.active()) {
     const std::uint32_t Given = std::min(Left, Targets_.freeShare(Target, Now));
     if (Given > 0)
-      Told.push_back(Slots_.give(Asked.Asker_, Targets_.nameOf(Target), Given));
+      Told.push_back(
+          Slots_.give(Asked.Requester_, Targets_.nameOf(Target), Given));
     Left -= Given;
   }
   refreshShares();
   return Told;
 }
 
-std::vector<SlotCount> RegionPool::giveKept(const SlotAsk &Asked,
+std::vector<SlotCount> RegionPool::giveKept(const SlotRequest &Asked,
                                             base::TimePoint Now) {
   // Long enough for the peer to ask again, and no longer: the slot is idle.
-  const bool Near = Asked.AskerRegion_ == Region_;
+  const bool Near = Asked.RequesterRegion_ == Region_;
   const base::Duration KeepTime = Near ? 4 * AskAgainNear : 2 * AskAgainAfar;
   placement::TargetIndex Busiest = 0;
   std::int64_t MostHeld = 0;
   for (const placement::TargetIndex Target : Targets_.active()) {
     const base::TargetId &Name = Targets_.nameOf(Target);
-    if (!Asked.Recalled_.empty() && Name != Asked.Recalled_)
+    if (!Asked.RecallTarget_.empty() && Name != Asked.RecallTarget_)
       continue;
     // What comes back from a lost host can pay a debt before it may be used.
-    const std::int64_t Held = Asked.Recalled_.empty()
+    const std::int64_t Held = Asked.RecallTarget_.empty()
                                   ? Slots_.held(Name)
                                   : Slots_.heldOnceSettled(Name);
     if (Held > Targets_.inFlight(Target)) {
       Kept_.erase(Name);
-      const SlotCount Given = Slots_.give(Asked.Asker_, Name, 1);
+      const SlotCount Given = Slots_.give(Asked.Requester_, Name, 1);
       refreshShares();
       return {Given};
     }
--- a/libs/steering/RegionPool.h
+++ b/libs/steering/RegionPool.h
@@ -5,8 +5,8 @@
 #include "placement/TargetPool.h"
 #include "retrying/RetryBudget.h"
 #include "settings/Intent.h"
-#include "steering/SlotBook.h"
 #include "steering/SlotMessages.h"
+#include "steering/SlotTable.h"
 
 #include <unordered_map>
 
@@ -39,7 +39,7 @@
   std::optional<admission::CustomerIndex>
   customer(const base::CustomerId &Customer) const;
 
-  // Slots, and what hosts tell each other of them; \see SlotBook.
+  // Slots, and what hosts tell each other of them; \see SlotTable.
 
   void enterEpoch(std::uint64_t Epoch, std::span<const Member> Members);
   void settle(std::uint64_t Epoch);
@@ -63,10 +63,10 @@
   void want(std::uint32_t Slots) noexcept { Wanted_ = Slots; }
 
   /// Adds what to ask of peers now.
-  void addAsks(std::vector<SlotAsk> &Asks, base::TimePoint Now);
+  void addAsks(std::vector<SlotRequest> &Asks, base::TimePoint Now);
 
   /// Gives what can be given of what a peer asks.
-  std::vector<SlotCount> give(const SlotAsk &Asked, base::TimePoint Now);
+  std::vector<SlotCount> give(const SlotRequest &Asked, base::TimePoint Now);
   bool accept(const base::HostId &Donor, std::span<const SlotCount> Told);
 
   const std::string &address(placement::TargetIndex Target) const {
@@ -88,10 +88,11 @@
   };
 
   void refreshShares();
-  void addRecalls(std::vector<SlotAsk> &Asks, base::TimePoint Now);
-  std::uint32_t mayGive(const SlotAsk &Asked, base::TimePoint Now) const;
-  std::vector<SlotCount> giveKept(const SlotAsk &Asked, base::TimePoint Now);
-  bool goesFirst(const SlotAsk &Asked) const noexcept;
+  void addRecalls(std::vector<SlotRequest> &Asks, base::TimePoint Now);
+  std::uint32_t mayGive(const SlotRequest &Asked, base::TimePoint Now) const;
+  std::vector<SlotCount> giveKept(const SlotRequest &Asked,
+                                  base::TimePoint Now);
+  bool goesFirst(const SlotRequest &Asked) const noexcept;
   bool isBetterDonor(const Peer &Each, const Peer *Best) const noexcept;
   bool mayAsk(const Peer &Each, base::TimePoint Now) const noexcept;
   Peer *bestDonor(base::TimePoint Now, base::HostId &Donor);
@@ -100,7 +101,7 @@
   const base::RegionId Region_;
   placement::TargetPool Targets_;
   admission::AdmissionControl Line_;
-  SlotBook Slots_;
+  SlotTable Slots_;
   std::map<base::HostId, Peer> Peers_;
   std::uint32_t Wanted_ = 0;
   /// This host stands in the region.
--- a/libs/steering/ServicePeers.cpp
+++ b/libs/steering/ServicePeers.cpp
@@ -12,11 +12,12 @@
     Pool->targets().setPeers(Peers);
 }
 
-void ServiceSteering::addRound(HostRound &Round, base::TimePoint Now) const {
+void ServiceSteering::addRound(HostLoadUpdate &Round,
+                               base::TimePoint Now) const {
   const std::scoped_lock Guard(Lock_);
   for (const auto &[Id, Pool] : Pools_) {
     if (Pool->divides()) {
-      Round.Spare_.push_back(
+      Round.SpareSlots_.push_back(
           {Service_, Id, Pool->spare(Now), Pool->targets().ownTotal()});
       continue;
     }
@@ -26,7 +27,8 @@
   }
 }
 
-void ServiceSteering::heardRound(const HostRound &Round, base::TimePoint Now) {
+void ServiceSteering::heardRound(const HostLoadUpdate &Round,
+                                 base::TimePoint Now) {
   const std::scoped_lock Guard(Lock_);
   for (const auto &[Id, Pool] : Pools_) {
     std::vector<placement::InFlight> Counts;
@@ -34,9 +36,9 @@
       if (Load.Service_ == Service_)
         if (const auto Target = Pool->targets().indexOf(Load.Target_))
           Counts.push_back({*Target, Load.InFlight_});
-    Pool->targets().heard(Round.Host_, Counts, Now);
+    Pool->targets().recordPeerLoads(Round.Host_, Counts, Now);
   }
-  for (const SpareSlots &Told : Round.Spare_)
+  for (const SpareSlots &Told : Round.SpareSlots_)
     if (RegionPool *Pool = poolOf(Told.Region_))
       if (Told.Service_ == Service_)
         Pool->heardSpare(Round.Host_, Told, Now);
@@ -69,25 +71,26 @@
       Pools_, [](const auto &Each) { return Each.second->fits(); });
 }
 
-void ServiceSteering::addAsks(std::vector<SlotAsk> &Asks, base::TimePoint Now) {
+void ServiceSteering::addAsks(std::vector<SlotRequest> &Asks,
+                              base::TimePoint Now) {
   const std::scoped_lock Guard(Lock_);
   const std::size_t Before = Asks.size();
   for (const auto &[Id, Pool] : Pools_)
     Pool->addAsks(Asks, Now);
   for (std::size_t Place = Before; Place < Asks.size(); ++Place) {
     Asks[Place].Service_ = Service_;
-    Asks[Place].AskerRegion_ = Context_.Region_;
+    Asks[Place].RequesterRegion_ = Context_.Region_;
   }
 }
 
-std::vector<SlotCount> ServiceSteering::giveSlots(const SlotAsk &Asked,
+std::vector<SlotCount> ServiceSteering::giveSlots(const SlotRequest &Asked,
                                                   base::TimePoint Now) {
   const std::scoped_lock Guard(Lock_);
   RegionPool *Pool = poolOf(Asked.Region_);
   return Pool ? Pool->give(Asked, Now) : std::vector<SlotCount>{};
 }
 
-void ServiceSteering::acceptSlots(const SlotGift &Gift, base::TimePoint Now,
+void ServiceSteering::acceptSlots(const SlotGrant &Gift, base::TimePoint Now,
                                   std::vector<Wakeup> &Woken) {
   const std::scoped_lock Guard(Lock_);
   RegionPool *Pool = poolOf(Gift.Region_);
@@ -102,7 +105,7 @@
   const std::scoped_lock Guard(Lock_);
   for (const auto &[Id, Pool] : Pools_)
     if (const auto Index = Pool->targets().indexOf(Target))
-      Pool->targets().reported(*Index, Load, MeasuredAt);
+      Pool->targets().recordReport(*Index, Load, MeasuredAt);
 }
 
 } // namespace lychee::steering
--- a/libs/steering/ServicePlacement.cpp
+++ b/libs/steering/ServicePlacement.cpp
@@ -35,7 +35,7 @@
 RegionPool *ServiceSteering::homeOf(const Pending &Wanted,
                                     base::TimePoint Now) {
   RegionPool *Lost = nullptr;
-  for (const base::RegionId &Region : Wanted.Request_.Preference_) {
+  for (const base::RegionId &Region : Wanted.Request_.PreferredRegions_) {
     RegionPool *Pool = poolOf(Region);
     if (!Pool)
       continue;
@@ -71,7 +71,7 @@
   std::vector<placement::RegionOption> Options(1);
   Options.front().Usable_ = Home.targets().state(Now).Usable_;
   Options.front().Wait_ = Wait;
-  for (const base::RegionId &Region : Wanted.Request_.Preference_) {
+  for (const base::RegionId &Region : Wanted.Request_.PreferredRegions_) {
     RegionPool *Pool = poolOf(Region);
     if (!Pool || Pool == &Home)
       continue;
--- a/libs/steering/ServiceRates.cpp
+++ b/libs/steering/ServiceRates.cpp
@@ -25,7 +25,7 @@
 } // namespace
 
 bool ServiceSteering::mayWaitForRate(const Request &Arrived) const {
-  if (!Context_.RateAgain_)
+  if (!Context_.RecheckRate_)
     return false;
   return std::ranges::count_if(RateWaiting_, [&](std::uint64_t Ticket) {
            return Pending_.at(Ticket).Request_.Customer_ == Arrived.Customer_;
@@ -55,7 +55,7 @@
     admission::RateCheck Rate{false, {}};
     // Of one customer the oldest goes first; the others wait behind it.
     if (!Short.contains(Wanted.Request_.Customer_))
-      Rate = Context_.RateAgain_(Wanted.Request_.Customer_, Now);
+      Rate = Context_.RecheckRate_(Wanted.Request_.Customer_, Now);
     if (!Rate.Allowed_ && Now < Wanted.RateUntil_) {
       Short.insert(Wanted.Request_.Customer_);
       RateWaiting_.push_back(Ticket);
--- a/libs/steering/ServiceShifting.cpp
+++ b/libs/steering/ServiceShifting.cpp
@@ -33,7 +33,7 @@
   Plan.Cap_ = Declared.Cap_;
   Plan.Step_ = Declared.Step_;
   Plan.Pace_ = Declared.Pace_;
-  Plan.Since_ = Declared.Start_;
+  Plan.StateSince_ = Declared.Start_;
   return Plan;
 }
 
@@ -42,9 +42,9 @@
   if (Plan.State_ == Wanted)
     return Plan;
   if (Wanted == State::Running)
-    return shifting::resumed(Plan, Wall);
-  return Wanted == State::Held ? shifting::held(Plan, Wall)
-                               : shifting::aborted(Plan, Wall);
+    return shifting::resumePlan(Plan, Wall);
+  return Wanted == State::Held ? shifting::holdPlan(Plan, Wall)
+                               : shifting::abortPlan(Plan, Wall);
 }
 
 } // namespace
@@ -66,8 +66,8 @@
     shifting::ShiftPlan Plan = beginning(Declared);
     if (Known != Old.end()) {
       Plan.State_ = Known->second.State_;
-      Plan.Since_ = Known->second.Since_;
-      Plan.Reached_ = Known->second.Reached_;
+      Plan.StateSince_ = Known->second.StateSince_;
+      Plan.ReachedShare_ = Known->second.ReachedShare_;
     }
     Plans.push_back(acted(Plan, stateOf(Declared.State_), Wall));
     Plans_[Id] = Plans.back();
--- a/libs/steering/ServiceSteering.cpp
+++ b/libs/steering/ServiceSteering.cpp
@@ -44,10 +44,10 @@
   /// against its target; one given up sooner was short of time.
   constexpr int TellingWaits = 5;
   constexpr int FirstServerError = 500;
-  switch (Report.End_) {
+  switch (Report.Outcome_) {
   case SendOutcome::Answered:
     return Report.Status_ >= FirstServerError ? placement::Outcome::Faulty
-                                              : placement::Outcome::Good;
+                                              : placement::Outcome::Success;
   case SendOutcome::Shed:
     return placement::Outcome::Shed;
   case SendOutcome::ConnectFailed:
@@ -229,7 +229,7 @@
          "the caller sends only where a target was chosen");
   const placement::TargetIndex Target = *Where.Choice_.Target_;
   placement::TargetPool &Targets = Where.Pool_->targets();
-  Targets.started(Target);
+  Targets.recordStart(Target);
   ++Wanted.Sends_;
   Wanted.Pool_ = Where.Pool_;
   Wanted.SentTo_ = Target;
@@ -302,10 +302,10 @@
   RegionPool &Pool = *Ended.Pool_;
   const placement::TargetIndex Target = Ended.SentTo_;
   const placement::Outcome Seen = outcomeOf(Report, Pool.line().expectedWork());
-  Pool.targets().finished(Target, Seen, Report.Took_, Now);
+  Pool.targets().recordFinish(Target, Seen, Report.Took_, Now);
   Pool.line().recordCompletion(Ended.Customer_, Ended.Request_.CallerHash_,
                                Ended.Charged_, Report.Took_,
-                               Seen == placement::Outcome::Good, Now);
+                               Seen == placement::Outcome::Success, Now);
   const std::uint64_t Fingerprint = Ended.Request_.Fingerprint_;
   if (Report.End_ == SendOutcome::Answered) {
     shifting::ColdCost &Cold = ColdCosts_[Pool.region()];
@@ -320,7 +320,7 @@
   const bool Reset = Report.End_ == SendOutcome::LostBeforeResponse ||
                      Report.End_ == SendOutcome::LostAfterPartialWrite ||
                      Report.End_ == SendOutcome::ResponseTruncated;
-  if (Reset && !Report.Silent_)
+  if (Reset && !Report.TimedOut_)
     Context_.Suspects_->recordTargetLoss(Fingerprint,
                                          Pool.targets().nameOf(Target), Now);
 }
@@ -329,15 +329,15 @@
                                        const SendReport &Report,
                                        base::TimePoint Now) {
   const retrying::RetryVerdict Verdict = retrying::evaluateRetry(
-      {Report.End_, Failed.Request_.Idempotent_, Report.AnswerStarted_});
+      {Report.Outcome_, Failed.Request_.Idempotent_, Report.AnswerStarted_});
   if (Verdict.Retry_ == retrying::Resend::NotNeeded)
     return refuse(Refusal::None, Ran::Maybe);
   Failed.MayHaveRun_ = Failed.MayHaveRun_ || Verdict.Ran_ != retrying::Ran::No;
   const Ran MayHaveRun = ranOf(Failed.MayHaveRun_);
   const bool Cancelled = Verdict.Retry_ == retrying::Resend::ForbiddenCancelled;
   if (Cancelled || Failed.Request_.Deadline_ <= Now)
-    return refuse(Refusal::DeadlinePassed, MayHaveRun);
-  if (!Verdict.mayRetry() || Failed.Sends_ >= Context_.Limits_.Sends_)
+    return refuse(Refusal::DeadlineExceeded, MayHaveRun);
+  if (!Verdict.mayRetry() || Failed.Sends_ >= Context_.Limits_.MaxSends_)
     return refuse(Refusal::TargetFailed, MayHaveRun);
   if (Context_.Suspects_->suspectUntil(Failed.Request_.Fingerprint_, Now) > Now)
     return refuse(Refusal::CrashSuspect, MayHaveRun);
--- a/libs/steering/ServiceSteering.h
+++ b/libs/steering/ServiceSteering.h
@@ -22,10 +22,10 @@
   /// Sends of one request, the first included: two failures in a row at
   /// different targets speak against the request or the region, and a fourth
   /// target would learn it the same way.
-  std::uint32_t Sends_ = 3;
+  std::uint32_t MaxSends_ = 3;
   retrying::RetryBudget::Limits Retries_;
   /// Of each region's line; ExpectedWork_ is the service's own.
-  admission::AdmissionControl::Limits Line_;
+  admission::AdmissionControl::Limits Admission_;
 };
 
 /// What one host's services have in common.
@@ -39,7 +39,7 @@
   /// no tokens come from peers.
   std::function<admission::RateCheck(const base::CustomerId &Customer,
                                      base::TimePoint Now)>
-      RateAgain_;
+      RecheckRate_;
 };
 
 /// One service at one host: its targets by region, its running and waiting
@@ -62,19 +62,20 @@
 
   /// Sets the other hosts that send to the same targets.
   void setPeers(std::span<const base::HostId> Peers);
-  void heardRound(const HostRound &Round, base::TimePoint Now);
+  void heardRound(const HostLoadUpdate &Round, base::TimePoint Now);
   /// Adds what this host tells its peers.
-  void addRound(HostRound &Round, base::TimePoint Now) const;
+  void addRound(HostLoadUpdate &Round, base::TimePoint Now) const;
   /// Sets the difference from the monotonic clock to the time of day.
   void setWallOffset(base::Duration Offset);
 
-  // Slots, \see SlotBook.
+  // Slots, \see SlotTable.
   void enterEpoch(std::uint64_t Epoch, std::span<const Member> Members);
   void settle(std::uint64_t Epoch);
   bool fits() const;
-  void addAsks(std::vector<SlotAsk> &Asks, base::TimePoint Now);
-  std::vector<SlotCount> giveSlots(const SlotAsk &Asked, base::TimePoint Now);
-  void acceptSlots(const SlotGift &Gift, base::TimePoint Now,
+  void addAsks(std::vector<SlotRequest> &Asks, base::TimePoint Now);
+  std::vector<SlotCount> giveSlots(const SlotRequest &Asked,
+                                   base::TimePoint Now);
+  void acceptSlots(const SlotGrant &Gift, base::TimePoint Now,
                    std::vector<Wakeup> &Woken);
 
   void reported(const base::TargetId &Target, std::uint32_t Load,
--- a/libs/steering/SlotMessages.h
+++ b/libs/steering/SlotMessages.h
@@ -2,7 +2,7 @@
 #define LYCHEE_STEERING_SLOTMESSAGES_H
 
 #include "base/Id.h"
-#include "steering/SlotBook.h"
+#include "steering/SlotTable.h"
 
 #include <cstdint>
 #include <string>
@@ -24,38 +24,38 @@
   base::ServiceId Service_;
   base::RegionId Region_;
   /// Free slots that it could give.
-  std::uint32_t Spare_ = 0;
+  std::uint32_t Free_ = 0;
   /// Slots that it has in use.
-  std::uint32_t Used_ = 0;
+  std::uint32_t InUse_ = 0;
 
   bool operator==(const SpareSlots &) const = default;
 };
 
 /// What a host tells all others about every 50 ms.
-struct HostRound {
+struct HostLoadUpdate {
   base::HostId Host_;
   /// Left out where slots are divided, as no one needs it then.
   std::vector<PeerLoad> Loads_;
-  std::vector<SpareSlots> Spare_;
+  std::vector<SpareSlots> SpareSlots_;
 };
 
 /// A host's wish for slots that \p Donor_ has free.
-struct SlotAsk {
-  base::HostId Asker_;
-  base::RegionId AskerRegion_;
+struct SlotRequest {
+  base::HostId Requester_;
+  base::RegionId RequesterRegion_;
   base::HostId Donor_;
   base::ServiceId Service_;
   base::RegionId Region_;
   std::uint32_t Slots_ = 0;
   /// Slots that the asker has in use: one that has fewer than the donor gets
   /// some although requests wait there too.
-  std::uint32_t AskerUses_ = 0;
+  std::uint32_t RequesterInUse_ = 0;
   /// Empty for any; else slots of this target are wanted back.
-  base::TargetId Recalled_;
+  base::TargetId RecallTarget_;
 };
 
-/// Slots that \p Donor_ gave, as counts that only rise. \see SlotBook
-struct SlotGift {
+/// Slots that \p Donor_ gave, as counts that only rise. \see SlotTable
+struct SlotGrant {
   base::HostId Donor_;
   base::HostId Receiver_;
   base::ServiceId Service_;
--- a/libs/steering/SlotBook.cpp
+++ b/libs/steering/SlotTable.cpp
@@ -1,4 +1,4 @@
-#include "steering/SlotBook.h"
+#include "steering/SlotTable.h"
 
 #include "placement/HomeSlots.h"
 
@@ -7,7 +7,7 @@
 
 namespace lychee::steering {
 
-void SlotBook::setTargets(std::span<const placement::TargetSpec> Targets) {
+void SlotTable::setTargets(std::span<const placement::TargetSpec> Targets) {
   std::map<base::TargetId, Entry> Old = std::exchange(Entries_, {});
   for (const placement::TargetSpec &Spec : Targets) {
     Entry &Kept = Entries_[Spec.Id_];
@@ -24,7 +24,7 @@
   }
 }
 
-void SlotBook::divide(const base::TargetId &Target, Entry &Divided) const {
+void SlotTable::divide(const base::TargetId &Target, Entry &Divided) const {
   const bool IsOwner = std::ranges::find(Owners_, Self_) != Owners_.end();
   std::vector<placement::HostWeight> Others;
   for (const base::HostId &Owner : Owners_)
@@ -37,13 +37,13 @@
               : 0;
 }
 
-bool SlotBook::isMember(const base::HostId &Host) const noexcept {
+bool SlotTable::isMember(const base::HostId &Host) const noexcept {
   return std::ranges::find(Members_, Host) != Members_.end();
 }
 
-void SlotBook::enterEpoch(std::uint64_t Epoch,
-                          std::span<const base::HostId> Owners,
-                          std::span<const base::HostId> Members) {
+void SlotTable::enterEpoch(std::uint64_t Epoch,
+                           std::span<const base::HostId> Owners,
+                           std::span<const base::HostId> Members) {
   if (Epoch <= Epoch_)
     return;
   Epoch_ = Epoch;
@@ -69,7 +69,7 @@
   }
 }
 
-void SlotBook::settle(std::uint64_t Epoch) {
+void SlotTable::settle(std::uint64_t Epoch) {
   if (Epoch != Epoch_ || Settled_)
     return;
   Settled_ = true;
@@ -79,7 +79,7 @@
   }
 }
 
-std::int64_t SlotBook::held(const base::TargetId &Target) const {
+std::int64_t SlotTable::held(const base::TargetId &Target) const {
   const auto Known = Entries_.find(Target);
   if (Known == Entries_.end())
     return 0;
@@ -93,7 +93,7 @@
   return std::min<std::int64_t>(Held, Each.Slots_);
 }
 
-std::int64_t SlotBook::heldOnceSettled(const base::TargetId &Target) const {
+std::int64_t SlotTable::heldOnceSettled(const base::TargetId &Target) const {
   const auto Known = Entries_.find(Target);
   if (Known == Entries_.end())
     return 0;
@@ -103,25 +103,25 @@
   return Held;
 }
 
-SlotCount SlotBook::give(const base::HostId &Receiver,
-                         const base::TargetId &Target, std::uint32_t Slots) {
+SlotCount SlotTable::give(const base::HostId &Receiver,
+                          const base::TargetId &Target, std::uint32_t Slots) {
   Pair &Counts = Entries_[Target].Pairs_[Receiver];
   Counts.Given_ += Slots;
   return {Target, Counts.Given_};
 }
 
-bool SlotBook::accept(const base::HostId &Donor, const SlotCount &Told) {
+bool SlotTable::accept(const base::HostId &Donor, const SlotCount &Told) {
   const auto Known = Entries_.find(Told.Target_);
   if (Known == Entries_.end() || !isMember(Donor) || Donor == Self_)
     return false;
   Pair &Counts = Known->second.Pairs_[Donor];
-  if (Told.Given_ <= Counts.Received_)
+  if (Told.TotalGranted_ <= Counts.Received_)
     return false;
-  Counts.Received_ = Told.Given_;
+  Counts.Received_ = Told.TotalGranted_;
   return true;
 }
 
-std::vector<SlotCount> SlotBook::givenTo(const base::HostId &Receiver) const {
+std::vector<SlotCount> SlotTable::givenTo(const base::HostId &Receiver) const {
   std::vector<SlotCount> Given;
   for (const auto &[Target, Each] : Entries_) {
     const auto Known = Each.Pairs_.find(Receiver);
@@ -132,7 +132,7 @@
 }
 
 std::vector<base::HostId>
-SlotBook::creditors(const base::TargetId &Target) const {
+SlotTable::creditors(const base::TargetId &Target) const {
   std::vector<base::HostId> Found;
   const auto Known = Entries_.find(Target);
   if (Known == Entries_.end())
--- a/libs/steering/SlotBook.h
+++ b/libs/steering/SlotTable.h
@@ -1,5 +1,5 @@
-#ifndef LYCHEE_STEERING_SLOTBOOK_H
-#define LYCHEE_STEERING_SLOTBOOK_H
+#ifndef LYCHEE_STEERING_SLOTTABLE_H
+#define LYCHEE_STEERING_SLOTTABLE_H
 
 #include "placement/TargetPool.h"
 
@@ -25,7 +25,7 @@
 /// both are members.
 struct SlotCount {
   base::TargetId Target_;
-  std::uint32_t Given_ = 0;
+  std::uint32_t TotalGranted_ = 0;
 
   bool operator==(const SlotCount &) const = default;
 };
@@ -52,11 +52,11 @@
 /// hosts have entered it, or are gone (settle).
 ///
 /// Not thread-safe: part of its RegionPool. \see docs/design/slots.md
-class SlotBook {
+class SlotTable {
 public:
-  explicit SlotBook(base::HostId Self) : Self_(std::move(Self)) {}
-  SlotBook(const SlotBook &) = delete;
-  SlotBook &operator=(const SlotBook &) = delete;
+  explicit SlotTable(base::HostId Self) : Self_(std::move(Self)) {}
+  SlotTable(const SlotTable &) = delete;
+  SlotTable &operator=(const SlotTable &) = delete;
 
   /// Sets the targets; leaving ones give no slots. The counts of those that
   /// stay are kept.
--- a/libs/steering/Steering.cpp
+++ b/libs/steering/Steering.cpp
@@ -14,7 +14,7 @@
     return "keys-stale";
   case Refusal::UnknownService:
     return "unknown-service";
-  case Refusal::OverRate:
+  case Refusal::RateLimited:
     return "over-rate";
   case Refusal::DeadlineTooShort:
     return "deadline-too-short";
@@ -36,7 +36,7 @@
     return "stopping";
   case Refusal::TargetFailed:
     return "target-failed";
-  case Refusal::DeadlinePassed:
+  case Refusal::DeadlineExceeded:
     return "deadline-passed";
   }
   return "unknown";
--- a/libs/steering/Steering.h
+++ b/libs/steering/Steering.h
@@ -33,9 +33,9 @@
   /// Hash of customer, method, path and body prefix, for crash suspects.
   std::uint64_t Fingerprint_ = 0;
   /// Regions for this caller, nearest first.
-  std::vector<base::RegionId> Preference_;
+  std::vector<base::RegionId> PreferredRegions_;
   /// When its head had come.
-  base::TimePoint Arrived_;
+  base::TimePoint ArrivedAt_;
   base::TimePoint Deadline_;
   std::uint64_t BodyBytes_ = 0;
   bool Idempotent_ = false;
@@ -43,9 +43,9 @@
   std::string Rule_;
   /// Time within which an answer is worth most, counted from arrival; zero:
   /// none is stated.
-  base::Duration Objective_{};
+  base::Duration LatencyObjective_{};
   /// Targets that it may be sent to; 0: as the steering sees fit.
-  std::uint32_t MaximumSends_ = 0;
+  std::uint32_t MaxSends_ = 0;
   /// 0 is the most urgent.
   std::uint32_t Priority_ = 0;
   /// Hash of the object it is about; 0: of none in particular.
@@ -64,7 +64,7 @@
   KeyWithdrawn,
   KeysStale,
   UnknownService,
-  OverRate,
+  RateLimited,
   DeadlineTooShort,
   QueueFull,
   NoHealthyTarget,
@@ -75,14 +75,14 @@
   AlreadyRun,
   Stopping,
   TargetFailed,
-  DeadlinePassed,
+  DeadlineExceeded,
 };
 
 /// \returns the name that stands in problem documents and log lines.
 std::string_view nameOf(Refusal Reason) noexcept;
 
 /// A target that was weighed and not taken, and why.
-struct PassedOver {
+struct PassedOverTarget {
   base::TargetId Target_;
   std::string_view Reason_;
 };
@@ -90,9 +90,9 @@
 /// What a target was chosen by, for the log.
 struct ChoiceInputs {
   /// Its place in the object's own order of targets; 0 is the first.
-  std::uint32_t Place_ = 0;
+  std::uint32_t Rank_ = 0;
   /// Time within which it should answer.
-  base::Duration Expected_{};
+  base::Duration ExpectedResponseTime_{};
   /// Requests believed to be at the target.
   double Load_ = 0;
   /// Age of the target's own last word on that; nothing: it has said none.
@@ -119,11 +119,11 @@
   /// The start of the target that is meant; empty: whichever answers there.
   std::string ExpectedTarget_;
   /// From when on silence of the target counts as a lost answer.
-  base::TimePoint PatienceUntil_ = base::TimePoint::max();
+  base::TimePoint ResponseDeadline_ = base::TimePoint::max();
   base::RegionId Region_;
   /// One word for the log: why this target or region.
   std::string_view Reason_;
-  std::vector<PassedOver> PassedOver_;
+  std::vector<PassedOverTarget> PassedOverTargets_;
   std::optional<ChoiceInputs> Inputs_;
 
   base::TimePoint WaitUntil_;
@@ -146,7 +146,7 @@
 
 /// How a send went, as this host saw it.
 struct SendReport {
-  SendOutcome End_ = SendOutcome::Answered;
+  SendOutcome Outcome_ = SendOutcome::Answered;
   int Status_ = 0;
   /// Time at the target: from the first byte written to the last byte read.
   base::Duration Took_{};
@@ -155,7 +155,7 @@
   std::uint64_t AnswerBytes_ = 0;
   /// True where the send ended because nothing came for too long, and not
   /// because the connection ended: silence is no sign of a crash.
-  bool Silent_ = false;
+  bool TimedOut_ = false;
   /// Another target answered at the address.
   bool WrongTarget_ = false;
   std::optional<TargetLoad> Load_ = std::nullopt;
@@ -189,7 +189,7 @@
   /// Asked when the patience of a Decision is over and no byte has come.
   /// \returns whether the send is to be ended; finish() then says where the
   /// request goes. Otherwise the target is waited for until the deadline.
-  virtual bool mayAbandon(std::uint64_t Ticket, base::TimePoint Now) {
+  virtual bool mayAbandonSend(std::uint64_t Ticket, base::TimePoint Now) {
     (void)Ticket;
     (void)Now;
     return true;
@@ -198,7 +198,7 @@
   /// Asked when a kept connection shows no life and the request is to be sent
   /// once more, on a new one to the same target. \returns whether it may be;
   /// else the first send goes on.
-  virtual bool mayRepeat(std::uint64_t Ticket, base::TimePoint Now) {
+  virtual bool mayHedge(std::uint64_t Ticket, base::TimePoint Now) {
     (void)Ticket;
     (void)Now;
     return true;
--- a/tests/dispatch/DispatchPlayTest.cpp
+++ b/tests/dispatch/DispatchPlayTest.cpp
@@ -178,10 +178,10 @@
     steering::Request Asked;
     Asked.Service_ = base::ServiceId("s");
     Asked.Rule_ = "rule";
-    Asked.Arrived_ = Now_;
+    Asked.ArrivedAt_ = Now_;
     Asked.Deadline_ = Now_ + Load_.Deadline_;
-    Asked.Objective_ = Load_.Objective_;
-    Asked.MaximumSends_ = 2;
+    Asked.LatencyObjective_ = Load_.Objective_;
+    Asked.MaxSends_ = 2;
     Asked.ObjectHash_ = Made->Object_ * 7919;
     Made->Decision_ = Made->Host_->arrive(Asked, Now_);
     follow(Made);
@@ -248,7 +248,7 @@
 
   void end(const Shared &One, SendEnd How, const Target &At) {
     steering::SendReport Report;
-    Report.End_ = How;
+    Report.Outcome_ = How;
     Report.Status_ = How == SendEnd::Answered ? 200 : 503;
     Report.Took_ = Now_ - One->Sent_;
     Report.Load_ = steering::TargetLoad{
--- a/tests/dispatch/DispatchSteeringTest.cpp
+++ b/tests/dispatch/DispatchSteeringTest.cpp
@@ -59,7 +59,7 @@
     Made.Rule_ = "rule";
     Made.Deadline_ = Now_ + 800ms;
     Made.Idempotent_ = Idempotent;
-    Made.MaximumSends_ = MaximumSends;
+    Made.MaxSends_ = MaximumSends;
     Made.ObjectHash_ = 42;
     Made.Fingerprint_ = 7;
     return Made;
@@ -68,9 +68,9 @@
   Decision finish(const Decision &Sent, SendEnd End, int Status = 0,
                   bool Silent = false) {
     SendReport Report;
-    Report.End_ = End;
+    Report.Outcome_ = End;
     Report.Status_ = Status;
-    Report.Silent_ = Silent;
+    Report.TimedOut_ = Silent;
     Report.Took_ = 100ms;
     return Steering_.finish(Sent.Ticket_, Report, Now_, Woken_);
   }
@@ -167,12 +167,12 @@
 TEST(DispatchSteering, aColdRunIsWaitedFor) {
   const dispatch::WorkTimes Unseen;
   const Decision Sent = arrive(requestOf(true));
-  CHECK(Sent.PatienceUntil_ >
+  CHECK(Sent.ResponseDeadline_ >
         Now_ + base::fromSeconds(Unseen.coldSeconds() * 1.2));
 }
 
 TEST(DispatchSteering, aBookingIsWaitedForUntilItsDeadline) {
-  CHECK(arrive(requestOf(false)).PatienceUntil_ == base::TimePoint::max());
+  CHECK(arrive(requestOf(false)).ResponseDeadline_ == base::TimePoint::max());
 }
 
 // A look-up runs for seconds on a kept connection that shows no sign of life,
@@ -180,23 +180,23 @@
 // reach the target after the last moment for new work.
 TEST(DispatchSteering, nothingIsRepeatedAtATargetThatLeaves) {
   const Decision Sent = arrive(requestOf(true));
-  CHECK(Steering_.mayRepeat(Sent.Ticket_, Now_));
+  CHECK(Steering_.mayHedge(Sent.Ticket_, Now_));
   for (live::KnownTarget &Each : Targets_)
     Each.Record_.Leaving_ = true;
   push();
-  CHECK_FALSE(Steering_.mayRepeat(Sent.Ticket_, Now_));
+  CHECK_FALSE(Steering_.mayHedge(Sent.Ticket_, Now_));
   for (live::KnownTarget &Each : Targets_)
     Each.Record_.Leaving_ = false;
   push();
   Steering_.setEvacuated({base::ZoneId("north-a")}, Now_);
-  CHECK_FALSE(Steering_.mayRepeat(Sent.Ticket_, Now_));
+  CHECK_FALSE(Steering_.mayHedge(Sent.Ticket_, Now_));
 }
 
 // Repeats count among the second sends that all hosts together may make.
 TEST(DispatchSteering, repeatsAreInTheBudgetOfSecondSends) {
   const Decision Sent = arrive(requestOf(true));
   int Repeats = 0;
-  while (Steering_.mayRepeat(Sent.Ticket_, Now_))
+  while (Steering_.mayHedge(Sent.Ticket_, Now_))
     ++Repeats;
   CHECK(Repeats >= 1);
   CHECK(Repeats <= live::DeploymentBounds().RetrySlack_);
--- a/tests/exchange/ExchangeCodecTest.cpp
+++ b/tests/exchange/ExchangeCodecTest.cpp
@@ -15,7 +15,8 @@
   HostReport Made;
   Made.Round_.Host_ = base::HostId("one#17");
   Made.Round_.Loads_ = {{base::ServiceId("rota"), base::TargetId("rota-1"), 3}};
-  Made.Round_.Spare_ = {{base::ServiceId("rota"), base::RegionId("near"), 2}};
+  Made.Round_.SpareSlots_ = {
+      {base::ServiceId("rota"), base::RegionId("near"), 2}};
   Made.Offers_ = {{"rate/parish", budget::TotalParts / 3, 5'000'000'000}};
   lychee::retrying::CrashEvidence Evidence;
   Evidence.Fingerprint_ = ~std::uint64_t(0);
@@ -49,7 +50,7 @@
           .value_or(HostReport());
   CHECK(Got.Round_.Host_ == Sent.Round_.Host_);
   CHECK(Got.Round_.Loads_ == Sent.Round_.Loads_);
-  CHECK(Got.Round_.Spare_ == Sent.Round_.Spare_);
+  CHECK(Got.Round_.SpareSlots_ == Sent.Round_.SpareSlots_);
   LONGS_EQUAL(1, Got.Offers_.size());
   CHECK(Got.Offers_[0].Rate_ == Sent.Offers_[0].Rate_);
   CHECK(Got.Offers_[0].Tokens_ == Sent.Offers_[0].Tokens_);
--- a/tests/gateway/FakeSteering.cpp
+++ b/tests/gateway/FakeSteering.cpp
@@ -87,7 +87,7 @@
       continue;
     }
     Decision Late;
-    Late.Refusal_ = steering::Refusal::DeadlinePassed;
+    Late.Refusal_ = steering::Refusal::DeadlineExceeded;
     Woken.push_back({*Each, Late});
     WaitingTickets_.erase(*Each);
     Each = Waiting_.erase(Each);
--- a/tests/gateway/FakeSteering.h
+++ b/tests/gateway/FakeSteering.h
@@ -33,7 +33,7 @@
                             const steering::SendReport &Report,
                             base::TimePoint Now,
                             std::vector<steering::Wakeup> &Woken) override;
-  bool mayRepeat(std::uint64_t /*Ticket*/, base::TimePoint /*Now*/) override {
+  bool mayHedge(std::uint64_t /*Ticket*/, base::TimePoint /*Now*/) override {
     return MayRepeat_;
   }
   void cancel(std::uint64_t Ticket, base::TimePoint Now) override;
--- a/tests/gateway/ForwardingTest.cpp
+++ b/tests/gateway/ForwardingTest.cpp
@@ -68,7 +68,7 @@
 }
 
 TEST(Forwarding, aRefusalIsProblemJsonThatSaysNotRun) {
-  Fixture_.Steering_->RefuseAll_ = lychee::steering::Refusal::OverRate;
+  Fixture_.Steering_->RefuseAll_ = lychee::steering::Refusal::RateLimited;
   RawClient Caller(Fixture_.address());
   const RawAnswer Answer = Caller.request("POST", "/s/x", "", "abc");
   LONGS_EQUAL(429, Answer.Status_);
--- a/tests/placement/TargetPoolTest.cpp
+++ b/tests/placement/TargetPoolTest.cpp
@@ -44,8 +44,8 @@
   void send(TargetIndex Target, Outcome Seen, int Count = 1,
             Duration Took = 20ms) {
     for (int Each = 0; Each < Count; ++Each) {
-      Pool_.started(Target);
-      Pool_.finished(Target, Seen, Took, Now_);
+      Pool_.recordStart(Target);
+      Pool_.recordFinish(Target, Seen, Took, Now_);
     }
   }
 
@@ -69,7 +69,7 @@
   for (int Each = 0; Each < 15; ++Each) {
     const TargetChoice Choice = choose();
     CHECK(Choice.Target_.has_value());
-    Pool_.started(Choice.Target_.value_or(0));
+    Pool_.recordStart(Choice.Target_.value_or(0));
   }
   STRCMP_EQUAL("all-full", std::string(choose().Reason_).c_str());
   for (TargetIndex Target = 0; Target < 5; ++Target)
@@ -79,11 +79,11 @@
 TEST(TargetPool, aLeavingTargetGetsNoNewWorkAndItsRunningWorkEnds) {
   auto Declared = targets(3);
   Pool_.setTargets(Declared, Now_);
-  Pool_.started(0);
+  Pool_.recordStart(0);
   Declared[0].Leaving_ = true;
   Pool_.setTargets(Declared, Now_);
   CHECK_FALSE(chosenIn(200).contains(0));
-  Pool_.finished(0, Outcome::Good, 20ms, Now_);
+  Pool_.recordFinish(0, Outcome::Success, 20ms, Now_);
   DOUBLES_EQUAL(0, Pool_.load(0, Now_), 0.01);
 }
 
@@ -105,9 +105,9 @@
   CHECK_FALSE(chosenIn(200).contains(2));
   Now_ += TargetHealth::FirstEjection;
   CHECK(chosenIn(200).contains(2));
-  Pool_.started(2);
+  Pool_.recordStart(2);
   CHECK_FALSE(chosenIn(200).contains(2));
-  Pool_.finished(2, Outcome::Unreachable, 1ms, Now_);
+  Pool_.recordFinish(2, Outcome::Unreachable, 1ms, Now_);
   Now_ += TargetHealth::FirstEjection;
   CHECK(Pool_.isEjected(2, Now_));
 }
@@ -115,9 +115,9 @@
 TEST(TargetPool, aSlowTargetIsEjectedAsAnOutlier) {
   Pool_.setTargets(targets(6), Now_);
   for (TargetIndex Target = 0; Target < 6; ++Target)
-    send(Target, Outcome::Good, 10, 20ms);
+    send(Target, Outcome::Success, 10, 20ms);
   Pool_.tick(Now_);
-  send(4, Outcome::Good, 20, 500ms);
+  send(4, Outcome::Success, 20, 500ms);
   CHECK(Pool_.isEjected(4, Now_));
 }
 
@@ -145,7 +145,7 @@
   Pool_.setTargets(targets(10), Now_);
   for (TargetIndex Target = 0; Target < 5; ++Target) {
     send(Target, Outcome::Unreachable, 3);
-    send(9, Outcome::Good);
+    send(9, Outcome::Success);
   }
   for (const TargetIndex Target : chosenIn(500))
     CHECK(Target >= 5);
@@ -166,7 +166,7 @@
   Now_ += 500ms;
   const TargetChoice Probe = choose();
   CHECK(Probe.Target_.has_value());
-  send(Probe.Target_.value_or(0), Outcome::Good);
+  send(Probe.Target_.value_or(0), Outcome::Success);
   CHECK(PoolState::Trust::Lost != Pool_.state(Now_).Trust_);
 }
 
@@ -176,7 +176,7 @@
 TEST(TargetPool, aShedOutranksAReportOfAnIdleTarget) {
   Pool_.setTargets(targets(4), Now_);
   send(1, Outcome::Shed);
-  Pool_.reported(1, 0, Now_);
+  Pool_.recordReport(1, 0, Now_);
   CHECK_FALSE(chosenIn(200).contains(1));
   Now_ += 30ms;
   CHECK(chosenIn(200).contains(1));
@@ -189,9 +189,9 @@
   const std::vector<HostId> Peers = {HostId("a"), HostId("b")};
   Pool_.setPeers(Peers);
   for (const HostId &Peer : Peers)
-    Pool_.heard(Peer, std::vector<InFlight>{{0, 1}, {1, 1}, {2, 1}, {3, 1}},
-                Now_);
-  Pool_.reported(0, 8, Now_);
+    Pool_.recordPeerLoads(
+        Peer, std::vector<InFlight>{{0, 1}, {1, 1}, {2, 1}, {3, 1}}, Now_);
+  Pool_.recordReport(0, 8, Now_);
   CHECK(Pool_.load(0, Now_) > 3);
   Now_ += 20s;
   DOUBLES_EQUAL(2, Pool_.load(0, Now_), 0.6);
@@ -202,14 +202,14 @@
   const std::vector<HostId> Peers = {HostId("a"), HostId("b")};
   Pool_.setPeers(Peers);
   for (const HostId &Peer : Peers)
-    Pool_.heard(Peer, std::vector<InFlight>{{0, 2}, {1, 2}, {2, 2}, {3, 2}},
-                Now_);
+    Pool_.recordPeerLoads(
+        Peer, std::vector<InFlight>{{0, 2}, {1, 2}, {2, 2}, {3, 2}}, Now_);
   for (TargetIndex Target = 0; Target < 4; ++Target)
     for (int Each = 0; Each < 2; ++Each)
-      Pool_.started(Target);
+      Pool_.recordStart(Target);
   Now_ += 2s;
-  Pool_.heard(Peers[0], std::vector<InFlight>{{0, 2}, {1, 2}, {2, 2}, {3, 2}},
-              Now_);
+  Pool_.recordPeerLoads(
+      Peers[0], std::vector<InFlight>{{0, 2}, {1, 2}, {2, 2}, {3, 2}}, Now_);
   Pool_.tick(Now_);
   for (TargetIndex Target = 0; Target < 4; ++Target)
     DOUBLES_EQUAL(6, Pool_.load(Target, Now_), 0.2);
--- a/tests/shifting/ShiftPlanTest.cpp
+++ b/tests/shifting/ShiftPlanTest.cpp
@@ -20,7 +20,7 @@
     Plan_.Cap_ = 0.35;
     Plan_.Step_ = 0.1;
     Plan_.Pace_ = 60s;
-    Plan_.Since_ = Start_;
+    Plan_.StateSince_ = Start_;
   }
 
   double at(lychee::base::Duration After) const {
@@ -37,14 +37,14 @@
 }
 
 TEST(ShiftPlan, aHoldKeepsWhatIsMovedAndAResumeGoesOnFromThere) {
-  Plan_ = held(Plan_, Start_ + 70s);
+  Plan_ = holdPlan(Plan_, Start_ + 70s);
   DOUBLES_EQUAL(0.2, at(10h), 1e-9);
-  Plan_ = resumed(Plan_, Start_ + 10h);
+  Plan_ = resumePlan(Plan_, Start_ + 10h);
   DOUBLES_EQUAL(0.3, at(10h), 1e-9);
 }
 
 TEST(ShiftPlan, anAbortGoesBackByTheSameSteps) {
-  Plan_ = aborted(Plan_, Start_ + 24h);
+  Plan_ = abortPlan(Plan_, Start_ + 24h);
   DOUBLES_EQUAL(0.25, at(24h), 1e-9);
   DOUBLES_EQUAL(0.15, at(24h + 60s), 1e-9);
   DOUBLES_EQUAL(0, at(25h), 1e-9);
@@ -63,13 +63,13 @@
       const double Before = plannedFraction(Changed, Now);
       switch (lychee::base::drawBelow(Numbers, 3)) {
       case 0:
-        Changed = held(Changed, Now);
+        Changed = holdPlan(Changed, Now);
         break;
       case 1:
-        Changed = resumed(Changed, Now);
+        Changed = resumePlan(Changed, Now);
         break;
       default:
-        Changed = aborted(Changed, Now);
+        Changed = abortPlan(Changed, Now);
       }
       const double After = plannedFraction(Changed, Now);
       CHECK(After <= Plan_.Cap_ + 1e-9);
--- a/tests/shifting/ShiftSetTest.cpp
+++ b/tests/shifting/ShiftSetTest.cpp
@@ -31,7 +31,7 @@
   Plan.Cap_ = 0.5;
   Plan.Step_ = 0.1;
   Plan.Pace_ = 10s;
-  Plan.Since_ = WallPoint(1000s);
+  Plan.StateSince_ = WallPoint(1000s);
   return Plan;
 }
 
@@ -144,7 +144,7 @@
 TEST(ShiftSet, anAbortGoesBackAtThePaceAndOnlyIntoRoom) {
   Set_.setPlans(std::vector{planOf("p", "a", "b")});
   run(100s);
-  Set_.setPlans(std::vector{aborted(planOf("p", "a", "b"), Wall_)});
+  Set_.setPlans(std::vector{abortPlan(planOf("p", "a", "b"), Wall_)});
   run(1s);
   expect(0.4, "aborting");
   View_.ReceiverFreeSlots_ = 0;
@@ -166,7 +166,7 @@
 TEST(ShiftSet, aHostThatStartsLateBeginsWhereItsPeersAre) {
   Set_.setPlans(std::vector{planOf("p", "a", "b")});
   Wall_ += 100s;
-  Set_.adopt(PlanId("p"), 0.3);
+  Set_.adoptPeerShare(PlanId("p"), 0.3);
   run(1s);
   expect(0.4, "moving");
 }
@@ -198,7 +198,7 @@
     ShiftPlan Plan = planOf("p", "a", "b");
     Plan.Cap_ = 0.1;
     Fresh.setPlans(std::vector{Plan});
-    Fresh.adopt(Plan.Id_, 0.1);
+    Fresh.adoptPeerShare(Plan.Id_, 0.1);
     int Moved = 0;
     for (int Total = 1; Total <= 2000; ++Total) {
       const bool Heavy = drawBelow(Numbers, 3) == 0;
@@ -219,8 +219,8 @@
     Random Numbers(Seed);
     ShiftSet Fresh;
     Fresh.setPlans(std::vector{planOf("p", "a", "c"), planOf("q", "b", "c")});
-    Fresh.adopt(PlanId("p"), 0.5);
-    Fresh.adopt(PlanId("q"), 0.5);
+    Fresh.adoptPeerShare(PlanId("p"), 0.5);
+    Fresh.adoptPeerShare(PlanId("q"), 0.5);
     int Tokens = 300;
     int Steered = 0;
     const auto Take = [&Tokens](const RegionId &) {
@@ -246,8 +246,8 @@
 
 TEST(ShiftSet, twoPlansFromOneRegionMoveAtMostTheirSum) {
   Set_.setPlans(std::vector{planOf("p", "a", "b"), planOf("q", "a", "c")});
-  Set_.adopt(PlanId("p"), 0.2);
-  Set_.adopt(PlanId("q"), 0.2);
+  Set_.adoptPeerShare(PlanId("p"), 0.2);
+  Set_.adoptPeerShare(PlanId("q"), 0.2);
   const double Moved = static_cast<double>(movedCallers().size()) / 2000;
   CHECK(Moved <= 0.4);
   DOUBLES_EQUAL(0.36, Moved, 0.03);
--- a/tests/steering/FleetSteeringTest.cpp
+++ b/tests/steering/FleetSteeringTest.cpp
@@ -39,13 +39,13 @@
     steering::Request Made;
     Made.Service_ = base::ServiceId("rota");
     Made.Customer_ = base::CustomerId("parish");
-    Made.Preference_ = {base::RegionId("near")};
+    Made.PreferredRegions_ = {base::RegionId("near")};
     Made.Deadline_ = Now_ + std::chrono::seconds(1);
     return Made;
   }
 
   steering::Decision end(std::uint64_t Ticket, steering::SendOutcome End) {
-    return Steering_.finish(Ticket, {.End_ = End}, Now_, Woken_);
+    return Steering_.finish(Ticket, {.Outcome_ = End}, Now_, Woken_);
   }
 };
 
@@ -68,7 +68,7 @@
   Steering_.arrive(request(), Now_);
   Steering_.tick(Now_ + std::chrono::seconds(1), Woken_);
   LONGS_EQUAL(1, Woken_.size());
-  CHECK(Woken_[0].Decision_.Refusal_ == steering::Refusal::DeadlinePassed);
+  CHECK(Woken_[0].Decision_.Refusal_ == steering::Refusal::DeadlineExceeded);
   CHECK(Woken_[0].Decision_.Ran_ == steering::Ran::No);
 }
 
@@ -76,7 +76,7 @@
   for (int Count = 0; Count < 10; ++Count)
     Steering_.arrive(request(), Now_);
   const auto Over = Steering_.arrive(request(), Now_);
-  CHECK(Over.Refusal_ == steering::Refusal::OverRate);
+  CHECK(Over.Refusal_ == steering::Refusal::RateLimited);
   CHECK(Over.RetryAfter_ > base::Duration(0));
 }
 
--- a/tests/steering/SlotBookTest.cpp
+++ b/tests/steering/SlotBookTest.cpp
@@ -1,4 +1,4 @@
-#include "steering/SlotBook.h"
+#include "steering/SlotTable.h"
 
 #include <memory>
 
@@ -24,7 +24,7 @@
 TEST_GROUP(SlotBook) {
   static constexpr std::size_t Hosts = 3;
   static constexpr std::size_t Targets = 5;
-  std::vector<std::unique_ptr<steering::SlotBook>> Books_;
+  std::vector<std::unique_ptr<steering::SlotTable>> Books_;
   std::vector<base::HostId> Members_;
 
   void setup() override {
@@ -34,7 +34,7 @@
       Specs.push_back({target(Number), SlotsOfTarget, false});
     for (std::size_t Number = 0; Number < Hosts; ++Number) {
       Members_.push_back(host(Number));
-      Books_.push_back(std::make_unique<steering::SlotBook>(host(Number)));
+      Books_.push_back(std::make_unique<steering::SlotTable>(host(Number)));
       Books_.back()->setTargets(Specs);
     }
     enter(1, Members_);
@@ -70,7 +70,7 @@
 }
 
 TEST(SlotBook, beforeItsEpochHasSettledAHostHoldsNone) {
-  steering::SlotBook Fresh(host(9));
+  steering::SlotTable Fresh(host(9));
   Fresh.enterEpoch(1, Members_, Members_);
   const std::vector<lychee::placement::TargetSpec> Specs{{target(0), 4, false}};
   Fresh.setTargets(Specs);
