--- a/apps/lycheed/ClaimDesk.cpp
+++ b/apps/lycheed/ClaimDesk.cpp
@@ -4,7 +4,7 @@
 
 namespace lychee::daemon {
 
-using retrying::ClaimAnswer;
+using retrying::ClaimOutcome;
 using Kind = gateway::ClaimAnswer::Kind;
 
 namespace {
@@ -21,22 +21,22 @@
 gateway::ClaimAnswer answerOf(const retrying::ClaimResult &Verdict) {
   gateway::ClaimAnswer Made;
   switch (Verdict.Outcome_) {
-  case ClaimAnswer::Granted:
+  case ClaimOutcome::Granted:
     Made.Kind_ = Kind::Granted;
     return Made;
-  case ClaimAnswer::AlreadyRun:
+  case ClaimOutcome::AlreadyRun:
     Made.Kind_ = Kind::AlreadyRun;
     Made.Status_ = Verdict.Status_;
     return Made;
-  case ClaimAnswer::MayHaveRun:
-  case ClaimAnswer::KeyReused:
+  case ClaimOutcome::MayHaveRun:
+  case ClaimOutcome::KeyReused:
     Made.Kind_ = Kind::HeldElsewhere;
     Made.RetryAfter_ = HeldRetryAfter;
     return Made;
-  case ClaimAnswer::Pending:
-  case ClaimAnswer::Full:
-  case ClaimAnswer::NotOwner:
-  case ClaimAnswer::StoreUnavailable:
+  case ClaimOutcome::Pending:
+  case ClaimOutcome::Full:
+  case ClaimOutcome::NotOwner:
+  case ClaimOutcome::StoreUnavailable:
     Made.RetryAfter_ = NoOwnerRetryAfter;
     return Made;
   }
--- a/bench/decisions/AdmissionTrial.cpp
+++ b/bench/decisions/AdmissionTrial.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 using admission::AdmissionControl;
-using admission::AdmissionVerdict;
+using admission::AdmissionDecision;
 using admission::CustomerIndex;
-using admission::GivenUp;
+using admission::DroppedRequest;
 using namespace std::chrono_literals;
 
 constexpr std::uint32_t Slots = 9; // a tenth of 30 endpoints with 3 slots
@@ -166,12 +166,12 @@
     Asks.Caller_ = New.Caller_;
     Asks.Deadline_ = Now + Deadline;
     Asks.HasCapacity_ = Running_ < Slots;
-    const AdmissionVerdict Verdict = Control_.admit(Asks, Now);
+    const AdmissionDecision Verdict = Control_.admit(Asks, Now);
     New.Expected_ = Verdict.ExpectedWork_;
-    if (Verdict.Action_ == AdmissionVerdict::Action::Refuse)
+    if (Verdict.Action_ == AdmissionDecision::Action::Refuse)
       return refuse(New, Now);
     Jobs_.emplace(Ticket, New);
-    if (Verdict.Action_ == AdmissionVerdict::Action::Admit)
+    if (Verdict.Action_ == AdmissionDecision::Action::Admit)
       start(Ticket, Now);
   }
 
@@ -222,7 +222,7 @@
   }
 
   void giveUpLeft(base::TimePoint Now) {
-    for (const GivenUp &Each : Left_) {
+    for (const DroppedRequest &Each : Left_) {
       refuse(Jobs_.at(Each.Request_.Ticket_), Now);
       Jobs_.erase(Each.Request_.Ticket_);
     }
@@ -242,7 +242,7 @@
   std::vector<CustomerIndex> Index_;
   std::map<std::uint64_t, Job> Jobs_;
   std::deque<std::uint64_t> Line_;
-  std::vector<GivenUp> Left_;
+  std::vector<DroppedRequest> Left_;
   std::uint64_t LastTicket_ = 0;
   std::uint32_t Running_ = 0;
   bool Ended_ = false;
--- a/libs/admission/AdmissionControl.cpp
+++ b/libs/admission/AdmissionControl.cpp
@@ -24,9 +24,9 @@
 AdmissionDecision AdmissionControl::admit(const AdmissionRequest &Request,
                                           base::TimePoint Now) {
   if (!Request.Rate_.Allowed_)
-    return refuse(Cause::RateLimited, Request.Rate_.RetryAfter_);
+    return refuse(RefusalReason::RateLimited, Request.Rate_.RetryAfter_);
   if (Now + Work_.mean() > Request.Deadline_)
-    return refuse(Cause::DeadlineTooShort, {});
+    return refuse(RefusalReason::DeadlineTooShort, {});
   // Room goes to whoever waits, or a newcomer would overtake the line.
   if (!Request.HasCapacity_ || Queue_.size() > 0)
     return judgeWait(Request, Now);
@@ -43,18 +43,19 @@
   const base::Duration Wait =
       expectedWait(Request.Customer_, Request.Caller_, Now);
   if (Queue_.sizeOf(Request.Customer_) >= Limits_.MostWaiting_)
-    return refuse(Cause::QueueFull, Wait);
+    return refuse(RefusalReason::QueueFull, Wait);
 
   base::Duration Longest = Request.Deadline_ - Now - Work_.mean();
-  Cause TooLong = Cause::WaitTooLong;
+  RefusalReason TooLong = RefusalReason::WaitTooLong;
   const bool Saturated =
       Records_[Request.Customer_].SaturatedSince_.has_value();
   if (Saturated && shortWait() < Longest) {
     Longest = shortWait();
-    TooLong = Cause::Saturated;
+    TooLong = RefusalReason::Saturated;
   }
   // Newest first, a newcomer does not wait for what is in line already.
-  const bool Overtakes = TooLong == Cause::Saturated && Limits_.NewestFirst_;
+  const bool Overtakes =
+      TooLong == RefusalReason::Saturated && Limits_.NewestFirst_;
   if (!Overtakes && Wait > Longest)
     return refuse(TooLong, Wait - Longest);
 
@@ -127,7 +128,7 @@
       Scratch_);
   for (const QueuedRequest &Each : Scratch_)
     Left.push_back(
-        giveUp(Each, mustLeave(Each, Now).value_or(Cause::None), Now));
+        giveUp(Each, mustLeave(Each, Now).value_or(RefusalReason::None), Now));
 }
 
 base::Duration AdmissionControl::shortWait() const noexcept {
@@ -184,20 +185,20 @@
   return base::Duration(static_cast<std::int64_t>(Ahead / Slots));
 }
 
-std::optional<Cause>
+std::optional<RefusalReason>
 AdmissionControl::mustLeave(const QueuedRequest &Request,
                             base::TimePoint Now) const noexcept {
   if (Now + Work_.mean() > Request.Deadline_)
-    return Cause::DeadlineExceeded;
+    return RefusalReason::DeadlineExceeded;
   // What came before is a burst and was promised its wait.
   const bool WaitedLong = Now - Request.Arrived_ > shortWait();
   const auto &Since = Records_[Request.Customer_].SaturatedSince_;
   if (WaitedLong && Since && Request.Arrived_ > *Since)
-    return Cause::Saturated;
+    return RefusalReason::Saturated;
   return std::nullopt;
 }
 
-AdmissionDecision AdmissionControl::refuse(Cause Reason,
+AdmissionDecision AdmissionControl::refuse(RefusalReason Reason,
                                            base::Duration RetryAfter) {
   AdmissionDecision Verdict;
   Verdict.Action_ = Action::Refuse;
@@ -207,13 +208,13 @@
 }
 
 DroppedRequest AdmissionControl::giveUp(const QueuedRequest &Request,
-                                        Cause Reason,
+                                        RefusalReason Reason,
                                         base::TimePoint Now) const {
   return {Request, Reason,
           expectedWait(Request.Customer_, Request.Caller_, Now)};
 }
 
-std::string_view nameOf(Cause Reason) noexcept {
+std::string_view nameOf(RefusalReason Reason) noexcept {
   static constexpr std::array<std::string_view, 7> Names = {
       "none",       "over-rate", "deadline-too-short", "wait-too-long",
       "queue-full", "saturated", "deadline-passed",
--- a/libs/admission/AdmissionControl.h
+++ b/libs/admission/AdmissionControl.h
@@ -28,7 +28,7 @@
 };
 
 /// \returns the name that stands in log lines.
-std::string_view nameOf(Cause Reason) noexcept;
+std::string_view nameOf(RefusalReason Reason) noexcept;
 
 /// What the customer's fleet rate says; from the budget of shares.
 struct RateCheck {
@@ -54,7 +54,7 @@
   enum class Action : std::uint8_t { Admit, Wait, Refuse };
 
   Action Action_ = Action::Refuse;
-  Cause Reason_ = Cause::None;
+  RefusalReason Reason_ = RefusalReason::None;
   /// Where it stands in line, to give it up early.
   QueuePosition Position_;
   /// How long the wait is expected to last.
@@ -68,7 +68,7 @@
 /// A request that waited and is given up.
 struct DroppedRequest {
   QueuedRequest Request_;
-  Cause Reason_ = Cause::None;
+  RefusalReason Reason_ = RefusalReason::None;
   base::Duration RetryAfter_{};
 };
 
@@ -173,12 +173,13 @@
   void notePressure(CustomerIndex Customer, base::TimePoint Now) noexcept;
   base::Duration expectedWait(CustomerIndex Customer, std::uint64_t Caller,
                               base::TimePoint Now) const;
-  std::optional<Cause> mustLeave(const QueuedRequest &Request,
-                                 base::TimePoint Now) const noexcept;
-  static AdmissionDecision refuse(Cause Reason, base::Duration RetryAfter);
+  std::optional<RefusalReason> mustLeave(const QueuedRequest &Request,
+                                         base::TimePoint Now) const noexcept;
+  static AdmissionDecision refuse(RefusalReason Reason,
+                                  base::Duration RetryAfter);
   AdmissionDecision judgeWait(const AdmissionRequest &Request,
                               base::TimePoint Now);
-  DroppedRequest giveUp(const QueuedRequest &Request, Cause Reason,
+  DroppedRequest giveUp(const QueuedRequest &Request, RefusalReason Reason,
                         base::TimePoint Now) const;
 
   Limits Limits_;
--- a/libs/admission/FairQueue.cpp
+++ b/libs/admission/FairQueue.cpp
@@ -13,8 +13,8 @@
     Customers_.emplace_back();
     CustomerEntries_.emplace_back();
   }
-  CustomerEntries_[Place->second].Weight_ = std::max(1U, Weight);
-  return Place->second;
+  CustomerEntries_[QueuePosition->second].Weight_ = std::max(1U, Weight);
+  return QueuePosition->second;
 }
 
 QueuePosition FairQueue::push(const QueuedRequest &Request) {
--- a/libs/budget/ExchangePolicy.cpp
+++ b/libs/budget/ExchangePolicy.cpp
@@ -31,15 +31,16 @@
 }
 
 ExchangeAmount ExchangePolicy::wanted(const ShareState &Own) const noexcept {
-  ExchangeAmount Ask;
-  Ask.Parts_.Rate_ = std::max<Parts>(0, needed(Own) - Own.Held_.Rate_);
-  Ask.Tokens_ = std::max<std::int64_t>(0, Own.Soon_ - Own.Level_);
-  Ask.Parts_.Capacity_ = capacityFor(Ask.Tokens_, Own.Burst_);
+  ExchangeAmount ShareRequest;
+  ShareRequest.Parts_.Rate_ = std::max<Parts>(0, needed(Own) - Own.Held_.Rate_);
+  ShareRequest.Tokens_ = std::max<std::int64_t>(0, Own.Soon_ - Own.Level_);
+  ShareRequest.Parts_.Capacity_ = capacityFor(ShareRequest.Tokens_, Own.Burst_);
   // A difference too small to matter is not worth a message: a tenth of what
   // is held, unless the tokens are about to run out.
-  if (Ask.Tokens_ == 0 && Ask.Parts_.Rate_ < Own.Held_.Rate_ / 10)
+  if (ShareRequest.Tokens_ == 0 &&
+      ShareRequest.Parts_.Rate_ < Own.Held_.Rate_ / 10)
     return {};
-  return Ask;
+  return ShareRequest;
 }
 
 Parts ExchangePolicy::spareRate(const ShareState &Own) const noexcept {
--- a/libs/claims/ClaimCodec.cpp
+++ b/libs/claims/ClaimCodec.cpp
@@ -8,12 +8,12 @@
 namespace lychee::claims {
 
 using fleet::Codec;
-using retrying::ClaimAnswer;
 using retrying::ClaimKey;
 using retrying::ClaimObject;
+using retrying::ClaimOutcome;
 using retrying::ClaimRecord;
+using retrying::ClaimResult;
 using retrying::ClaimState;
-using retrying::ClaimVerdict;
 
 namespace {
 
@@ -129,7 +129,7 @@
   return Made;
 }
 
-Json::Value ClaimCodec::toJson(const ClaimVerdict &From) {
+Json::Value ClaimCodec::toJson(const ClaimResult &From) {
   Json::Value Made(Json::objectValue);
   Made["answer"] = numberOf(static_cast<std::uint64_t>(From.Outcome_));
   Made["key"] = toText(From.Key_);
@@ -138,7 +138,7 @@
   return Made;
 }
 
-std::optional<ClaimVerdict> ClaimCodec::toVerdict(const Json::Value &From) {
+std::optional<ClaimResult> ClaimCodec::toVerdict(const Json::Value &From) {
   if (!From.isObject() || !From["answer"].isUInt64() ||
       !From["key"].isString() || !From["grant"].isUInt64() ||
       !From["status"].isUInt())
@@ -146,10 +146,10 @@
   const auto Found = toKey(From["key"].asString());
   const std::uint64_t Answer = From["answer"].asUInt64();
   if (!Found ||
-      Answer > static_cast<std::uint64_t>(ClaimAnswer::StoreUnavailable))
+      Answer > static_cast<std::uint64_t>(ClaimOutcome::StoreUnavailable))
     return std::nullopt;
-  ClaimVerdict Made;
-  Made.Outcome_ = static_cast<ClaimAnswer>(Answer);
+  ClaimResult Made;
+  Made.Outcome_ = static_cast<ClaimOutcome>(Answer);
   Made.Key_ = *Found;
   Made.Grant_ = From["grant"].asUInt64();
   Made.Status_ = static_cast<std::uint16_t>(From["status"].asUInt());
--- a/libs/claims/ClaimPartition.cpp
+++ b/libs/claims/ClaimPartition.cpp
@@ -13,9 +13,9 @@
 
 namespace asio = boost::asio;
 using base::SystemClock;
-using retrying::ClaimAnswer;
 using retrying::ClaimObject;
-using retrying::ClaimVerdict;
+using retrying::ClaimOutcome;
+using retrying::ClaimResult;
 
 namespace {
 
@@ -53,20 +53,20 @@
 
 void ClaimPartition::disown() {
   OwnedIn_ = 0;
-  std::vector<ClaimVerdict> Told;
+  std::vector<ClaimResult> Told;
   if (Table_.isLoaded() && !Looping_)
     Table_.unload(Told);
   tellAll(Told);
 }
 
-ClaimVerdict ClaimPartition::claim(const retrying::ClaimKey &Key,
-                                   std::uint64_t Fingerprint,
-                                   const base::HostId &Asker) {
+ClaimResult ClaimPartition::claim(const retrying::ClaimKey &Key,
+                                  std::uint64_t Fingerprint,
+                                  const base::HostId &Asker) {
   if (OwnedIn_ == 0)
-    return {ClaimAnswer::NotOwner, Key, 0, 0};
-  const ClaimVerdict Verdict =
+    return {ClaimOutcome::NotOwner, Key, 0, 0};
+  const ClaimResult Verdict =
       Table_.claim(Key, Fingerprint, SystemClock::wallNow());
-  if (Verdict.Outcome_ == ClaimAnswer::Pending)
+  if (Verdict.Outcome_ == ClaimOutcome::Pending)
     Askers_[Key] = Asker;
   wakeLoop();
   return Verdict;
@@ -80,8 +80,8 @@
   wakeLoop();
 }
 
-void ClaimPartition::tellAll(const std::vector<ClaimVerdict> &Verdicts) {
-  for (const ClaimVerdict &Each : Verdicts) {
+void ClaimPartition::tellAll(const std::vector<ClaimResult> &Verdicts) {
+  for (const ClaimResult &Each : Verdicts) {
     const auto Asker = Askers_.find(Each.Key_);
     if (Asker == Askers_.end())
       continue;
@@ -102,7 +102,7 @@
 asio::awaitable<void> ClaimPartition::loop() {
   while (!Stopped_) {
     if (OwnedIn_ == 0) {
-      std::vector<ClaimVerdict> Told;
+      std::vector<ClaimResult> Told;
       if (Table_.isLoaded())
         Table_.unload(Told);
       tellAll(Told);
@@ -158,7 +158,7 @@
   ++Writes_;
   const store::PutResult Put = co_await Store_.put(
       Path_, ClaimCodec::encode(Planned), Planned.Version_, Last);
-  std::vector<ClaimVerdict> Told;
+  std::vector<ClaimResult> Told;
   switch (Put.Status_) {
   case store::PutStatus::Written:
     Table_.written(Put.Version_, Told);
@@ -186,7 +186,7 @@
     co_await waitFor(StorePause);
     co_return;
   }
-  std::vector<ClaimVerdict> Told;
+  std::vector<ClaimResult> Told;
   Table_.readBack(*Object, Told);
   tellAll(Told);
 }
--- a/libs/claims/ClaimService.cpp
+++ b/libs/claims/ClaimService.cpp
@@ -16,9 +16,9 @@
 namespace asio = boost::asio;
 using base::SystemClock;
 using fleet::Codec;
-using retrying::ClaimAnswer;
 using retrying::ClaimKey;
-using retrying::ClaimVerdict;
+using retrying::ClaimOutcome;
+using retrying::ClaimResult;
 
 namespace {
 
@@ -57,7 +57,7 @@
   for (std::uint32_t Index = 0; Index < PartitionCount; ++Index)
     Partitions_[Index] = std::make_unique<ClaimPartition>(
         Strand_, Kept, Index, Incarnation,
-        [this](const base::HostId &Asker, const ClaimVerdict &Verdict) {
+        [this](const base::HostId &Asker, const ClaimResult &Verdict) {
           tell(Asker, Verdict);
         });
   bind(Handlers);
@@ -159,10 +159,10 @@
                                  Answered Done) {
   const ClaimMember *Owner = ownerFor(Key);
   if (Owner == nullptr)
-    return Done({ClaimAnswer::NotOwner, Key, 0, 0});
+    return Done({ClaimOutcome::NotOwner, Key, 0, 0});
   // Another request with the key is on its way through this very host.
   if (Waiters_.contains(Key) || Grants_.contains(Key))
-    return Done({ClaimAnswer::MayHaveRun, Key, 0, 0});
+    return Done({ClaimOutcome::MayHaveRun, Key, 0, 0});
   Waiters_[Key] = {std::move(Done), SystemClock::monotonicNow() + Patience, 0,
                    Owner->Process_};
   if (Owner->Process_ == Self_)
@@ -186,12 +186,12 @@
   const auto Verdict = Parsed ? ClaimCodec::toVerdict(*Parsed) : std::nullopt;
   // Unanswered, it may be granted all the same; it then stays at "may have
   // run", although it did not: the safe side.
-  settleWaiter(Verdict.value_or(ClaimVerdict{ClaimAnswer::NotOwner, Key, 0, 0}),
+  settleWaiter(Verdict.value_or(ClaimResult{ClaimOutcome::NotOwner, Key, 0, 0}),
                Owner);
 }
 
 /// A verdict on this host's own claim came, or that it is pending.
-void ClaimService::settleWaiter(const ClaimVerdict &Verdict,
+void ClaimService::settleWaiter(const ClaimResult &Verdict,
                                 const base::HostId &Owner) {
   const auto Found = Waiters_.find(Verdict.Key_);
   // A verdict that nobody waits for is passed over, and its claim stays at "may
@@ -200,13 +200,13 @@
   // request has run and before the owner has heard so.
   if (Found == Waiters_.end() || Found->second.Owner_ != Owner)
     return;
-  if (Verdict.Outcome_ == ClaimAnswer::Pending) {
+  if (Verdict.Outcome_ == ClaimOutcome::Pending) {
     Found->second.Grant_ = Verdict.Grant_;
     return;
   }
   const Answered Done = std::move(Found->second.Done_);
   Waiters_.erase(Found);
-  if (Verdict.Outcome_ == ClaimAnswer::Granted)
+  if (Verdict.Outcome_ == ClaimOutcome::Granted)
     Grants_[Verdict.Key_] = {Verdict.Grant_, Owner};
   Done(Verdict);
 }
@@ -226,7 +226,7 @@
       Waiters_.erase(Key);
       if (Each.Grant_ != 0)
         finishAt(Each.Owner_, {Key, Each.Grant_, retrying::Ran::No, 0});
-      Each.Done_({ClaimAnswer::StoreUnavailable, Key, 0, 0});
+      Each.Done_({ClaimOutcome::StoreUnavailable, Key, 0, 0});
     }
   }
 }
@@ -306,8 +306,7 @@
   return Nothing;
 }
 
-void ClaimService::tell(const base::HostId &Asker,
-                        const ClaimVerdict &Verdict) {
+void ClaimService::tell(const base::HostId &Asker, const ClaimResult &Verdict) {
   if (Asker == Self_)
     return settleWaiter(Verdict, Self_);
   const std::string Address = addressOf(Asker);
--- a/libs/dispatch/DispatchLearning.cpp
+++ b/libs/dispatch/DispatchLearning.cpp
@@ -6,7 +6,7 @@
 /// slow or ill a target is, and which requests end targets.
 namespace lychee::dispatch {
 
-using steering::SendEnd;
+using steering::SendOutcome;
 using steering::SendReport;
 
 namespace {
@@ -54,7 +54,7 @@
         .Loads_.reported(Target->Region_, Target->Load_.othersPerSlot(), Now);
   }
   switch (Report.Outcome_) {
-  case SendEnd::Answered:
+  case SendOutcome::Answered:
     Suspects_.recordResponse(Request.Fingerprint_);
     if (Report.Status_ >= FirstServerFailure) {
       Target->Trust_.failed(Now);
@@ -64,7 +64,7 @@
     learnTime(Request, *Target, Report);
     Target->Warm_.handled(Request.Object_, Now);
     break;
-  case SendEnd::Shed:
+  case SendOutcome::Shed:
     Target->AddressTaken_ = Target->AddressTaken_ || Report.WrongTarget_;
     // One that refuses with slots free is ill, not full.
     if (Report.Load_ && Report.Load_->Running_ < Report.Load_->Slots_)
@@ -72,22 +72,22 @@
     else
       Target->Load_.refused(Target->Record_.Slots_, Now);
     break;
-  case SendEnd::ConnectFailed:
+  case SendOutcome::ConnectFailed:
     Target->Trust_.unreachable(Now);
     noteDown(Target->Record_.Id_, Now);
     break;
-  case SendEnd::ClosedBeforeWrite:
-  case SendEnd::CancelledBeforeWrite:
-  case SendEnd::Cancelled:
+  case SendOutcome::ClosedBeforeWrite:
+  case SendOutcome::CancelledBeforeWrite:
+  case SendOutcome::Cancelled:
     break;
-  case SendEnd::LostAfterPartialWrite:
-  case SendEnd::LostBeforeResponse:
+  case SendOutcome::LostAfterPartialWrite:
+  case SendOutcome::LostBeforeResponse:
     Target->Trust_.failed(Now);
     if (!Report.TimedOut_)
       noteLoss(Request, Target->Record_.Id_, Now);
     break;
-  case SendEnd::ResponseTruncated:
-  case SendEnd::ResponseInvalid:
+  case SendOutcome::ResponseTruncated:
+  case SendOutcome::ResponseInvalid:
     Target->Trust_.failed(Now);
     break;
   }
--- a/libs/gateway/Forwarding.cpp
+++ b/libs/gateway/Forwarding.cpp
@@ -10,7 +10,7 @@
 
 namespace lychee::gateway {
 
-using steering::SendEnd;
+using steering::SendOutcome;
 
 namespace {
 
@@ -44,9 +44,9 @@
   return Both;
 }
 
-bool provesNotRun(SendEnd End) noexcept {
-  return End == SendEnd::ConnectFailed || End == SendEnd::ClosedBeforeWrite ||
-         End == SendEnd::Shed;
+bool provesNotRun(SendOutcome End) noexcept {
+  return End == SendOutcome::ConnectFailed ||
+         End == SendOutcome::ClosedBeforeWrite || End == SendOutcome::Shed;
 }
 
 } // namespace
@@ -163,7 +163,7 @@
     if (!Refused)
       Refused = recheckKey();
     if (Refused) {
-      finish({.End_ = SendEnd::Cancelled});
+      finish({.End_ = SendOutcome::Cancelled});
       Decision_ = *Refused;
       noteDecision(base::SystemClock::monotonicNow());
       ProblemDocument Problem = problemFor(Decision_, Request_.Id_.name());
@@ -200,7 +200,7 @@
   if (const auto Late = Shared.Waiting_.abandon(Ticket, Now)) {
     Decision_ = *Late;
     if (Late->Action_ == steering::Decision::Action::Send)
-      finish({.End_ = SendEnd::Cancelled});
+      finish({.End_ = SendOutcome::Cancelled});
   } else {
     Shared.Others_.Steering_.cancel(Ticket, Now);
   }
@@ -264,8 +264,8 @@
   if (Failed && Send.isSilent() && !Streamed_)
     Failed = co_await hedge(Send);
   else if (!Failed && Send.saysNotRun())
-    Failed = SendEnd::Shed;
-  if (Send.hasWritten() && Failed != SendEnd::Shed)
+    Failed = SendOutcome::Shed;
+  if (Send.hasWritten() && Failed != SendOutcome::Shed)
     Ran_ = steering::Ran::Maybe;
   if (Failed)
     co_return co_await handleFailure(Send, *Failed, Again);
@@ -280,10 +280,10 @@
   if (!Failed)
     Failed = co_await Send.readAnswer(Read_.Method_ == "HEAD");
   if (!Failed && Send.saysNotRun())
-    Failed = SendEnd::Shed;
+    Failed = SendOutcome::Shed;
   // However the second send ended, the first one may have run.
   if (Failed && provesNotRun(*Failed))
-    Failed = SendEnd::LostBeforeResponse;
+    Failed = SendOutcome::LostBeforeResponse;
   co_return Failed;
 }
 
@@ -346,7 +346,7 @@
     std::size_t Got = 0;
     BodyEnd_ = co_await Reader_.readBody(Piece, Got);
     if (BodyEnd_ != ReadEnd::Ok)
-      co_return SendEnd::Cancelled;
+      co_return SendOutcome::Cancelled;
     Piece.resize(Got);
   }
   if (Chunked)
@@ -372,33 +372,33 @@
   if (Send.isWhole()) {
     // Reported before the caller is written to: the target's room is free now,
     // however slowly the caller reads.
-    finish(Send.report(SendEnd::Answered));
+    finish(Send.report(SendOutcome::Answered));
     if (Decision_.Action_ == steering::Decision::Action::Send &&
-        Send.report(SendEnd::Answered).Status_ >= FirstServerFailure) {
+        Send.report(SendOutcome::Answered).Status_ >= FirstServerFailure) {
       Send.release();
       noteDecision(base::SystemClock::monotonicNow());
       Again = true;
       co_return Ending::KeepAlive;
     }
-    settle(ClaimEnd::Answered, Send.report(SendEnd::Answered).Status_);
+    settle(ClaimEnd::Answered, Send.report(SendOutcome::Answered).Status_);
     Send.release();
     co_return co_await Answer_.sendHeld(Send);
   }
-  SendEnd End = SendEnd::Answered;
+  SendOutcome End = SendOutcome::Answered;
   const Ending Ended = co_await Answer_.relay(Send, End);
   steering::SendReport Report = Send.report(End);
   Report.AnswerStarted_ = true;
   finish(Report);
-  settle(End == SendEnd::Answered ? ClaimEnd::Answered : ClaimEnd::Unknown,
+  settle(End == SendOutcome::Answered ? ClaimEnd::Answered : ClaimEnd::Unknown,
          Report.Status_);
   Send.release();
   co_return Ended;
 }
 
-Task<Ending> Forwarding::handleFailure(TargetSend &Send, SendEnd End,
+Task<Ending> Forwarding::handleFailure(TargetSend &Send, SendOutcome End,
                                        bool &Again) {
   finish(Send.report(End));
-  if (End == SendEnd::Cancelled)
+  if (End == SendOutcome::Cancelled)
     co_return co_await endCancelled(Send);
   Caller_.watch().rearm();
   Again = true;
@@ -408,7 +408,7 @@
     co_return Ending::Close;
   // Part of the body is gone: it cannot be sent again, whatever was decided.
   if (Decision_.Action_ == steering::Decision::Action::Send)
-    finish({.End_ = SendEnd::Cancelled});
+    finish({.End_ = SendOutcome::Cancelled});
   else
     Home_.shared().Others_.Steering_.cancel(Decision_.Ticket_,
                                             base::SystemClock::monotonicNow());
@@ -435,7 +435,8 @@
   std::vector<steering::Wakeup> Woken;
   Decision_ =
       Shared.Others_.Steering_.finish(Decision_.Ticket_, Report, Now, Woken);
-  if (Report.End_ != SendEnd::Answered && Report.End_ != SendEnd::Cancelled)
+  if (Report.End_ != SendOutcome::Answered &&
+      Report.End_ != SendOutcome::Cancelled)
     noteDecision(Now);
   if (!Woken.empty())
     Home_.deliver(Woken, Now);
--- a/libs/relaying/RelayMessages.cpp
+++ b/libs/relaying/RelayMessages.cpp
@@ -5,7 +5,7 @@
 
 namespace lychee::relaying {
 
-using live::ObjectNews;
+using live::ObjectUpdate;
 using live::StoredObject;
 
 namespace {
@@ -46,7 +46,7 @@
                       Row[2].asBool(), live::parsedBytes(Row[3])};
 }
 
-Json::Value newsOf(const ObjectNews &Each) {
+Json::Value newsOf(const ObjectUpdate &Each) {
   Json::Value Told;
   Told["at"] = Json::UInt64(Each.Changes_.Revision_);
   Told["newest"] = Json::UInt64(Each.Newest_);
@@ -59,9 +59,9 @@
   return Told;
 }
 
-std::optional<ObjectNews> readNews(const std::string &Kind,
-                                   const Json::Value &Told) {
-  ObjectNews Read;
+std::optional<ObjectUpdate> readNews(const std::string &Kind,
+                                     const Json::Value &Told) {
+  ObjectUpdate Read;
   Read.Kind_ = Kind;
   if (!Told.isObject() || !Told["at"].isUInt64() || !Told["newest"].isUInt64())
     return std::nullopt;
@@ -98,7 +98,7 @@
     Text["contact"] = Json::Int64(base::toMilliseconds(*Told.ContactAge_));
   if (Told.TroubleAge_)
     Text["trouble"] = Json::Int64(base::toMilliseconds(*Told.TroubleAge_));
-  for (const ObjectNews &Each : Told.Updates_)
+  for (const ObjectUpdate &Each : Told.Updates_)
     Text["news"][Each.Kind_] = newsOf(Each);
   return textOf(Text);
 }
--- a/libs/retrying/ClaimTable.cpp
+++ b/libs/retrying/ClaimTable.cpp
@@ -36,7 +36,7 @@
 }
 
 void ClaimTable::unload(std::vector<ClaimResult> &Told) {
-  denyWaiting(ClaimAnswer::NotOwner, Told);
+  denyWaiting(ClaimOutcome::NotOwner, Told);
   Claims_.clear();
   Loaded_ = false;
   Writing_ = Writing::Idle;
@@ -45,14 +45,14 @@
 ClaimResult ClaimTable::claim(const ClaimKey &Key, std::uint64_t Fingerprint,
                               base::WallPoint Now) {
   if (!Loaded_)
-    return {ClaimAnswer::NotOwner, Key, 0, 0};
+    return {ClaimOutcome::NotOwner, Key, 0, 0};
   const auto Known = Claims_.find(Key);
   if (Known != Claims_.end())
     return answerKnown(Known->second, Fingerprint, Now);
   if (Claims_.size() >= Limits_.Most_)
     forgetOld(Now);
   if (Claims_.size() >= Limits_.Most_)
-    return {ClaimAnswer::Full, Key, 0, 0};
+    return {ClaimOutcome::Full, Key, 0, 0};
 
   Claim Fresh;
   Fresh.Record_.Key_ = Key;
@@ -61,18 +61,18 @@
   Fresh.Record_.At_ = Now;
   Claims_.emplace(Key, Fresh);
   ++Queued_;
-  return {ClaimAnswer::Pending, Key, Fresh.Record_.Grant_, 0};
+  return {ClaimOutcome::Pending, Key, Fresh.Record_.Grant_, 0};
 }
 
 ClaimResult ClaimTable::answerKnown(Claim &Known, std::uint64_t Fingerprint,
                                     base::WallPoint Now) {
   const ClaimRecord &Record = Known.Record_;
   if (Record.Fingerprint_ != Fingerprint)
-    return {ClaimAnswer::KeyReused, Record.Key_, 0, 0};
+    return {ClaimOutcome::KeyReused, Record.Key_, 0, 0};
   if (Known.Phase_ == Phase::Done)
-    return {ClaimAnswer::AlreadyRun, Record.Key_, 0, Record.Status_};
+    return {ClaimOutcome::AlreadyRun, Record.Key_, 0, Record.Status_};
   if (Known.Phase_ != Phase::Free)
-    return {ClaimAnswer::MayHaveRun, Record.Key_, 0, 0};
+    return {ClaimOutcome::MayHaveRun, Record.Key_, 0, 0};
   // Granted anew only by a write: an owner that was replaced while paused could
   // otherwise give the permission that its successor gives as well. The new
   // number keeps the first holder's late word from freeing it again.
@@ -80,7 +80,7 @@
   Known.Record_.At_ = Now;
   Known.Phase_ = Phase::Queued;
   ++Queued_;
-  return {ClaimAnswer::Pending, Record.Key_, Known.Record_.Grant_, 0};
+  return {ClaimOutcome::Pending, Record.Key_, Known.Record_.Grant_, 0};
 }
 
 std::optional<ClaimObject> ClaimTable::planWrite(base::WallPoint Now) {
@@ -116,7 +116,7 @@
 void ClaimTable::failed(std::vector<ClaimResult> &Told) {
   assert(Writing_ == Writing::UnderWay && "a write ends once");
   Writing_ = Writing::Idle;
-  denyWaiting(ClaimAnswer::StoreUnavailable, Told);
+  denyWaiting(ClaimOutcome::StoreUnavailable, Told);
 }
 
 void ClaimTable::inDoubt() noexcept {
@@ -186,7 +186,7 @@
   }
   Written.Phase_ = Phase::Held;
   Told.push_back(
-      {ClaimAnswer::Granted, Written.Record_.Key_, Written.Record_.Grant_, 0});
+      {ClaimOutcome::Granted, Written.Record_.Key_, Written.Record_.Grant_, 0});
 }
 
 void ClaimTable::forgetOld(base::WallPoint Now) {
@@ -198,7 +198,7 @@
   });
 }
 
-void ClaimTable::denyWaiting(ClaimAnswer Answer,
+void ClaimTable::denyWaiting(ClaimOutcome Answer,
                              std::vector<ClaimResult> &Told) {
   std::erase_if(Claims_, [Answer, &Told](const auto &Each) {
     const Phase Stands = Each.second.Phase_;
@@ -217,7 +217,7 @@
   return OldestOutcome_ && Now - *OldestOutcome_ >= Limits_.OutcomeDelay_;
 }
 
-std::string_view nameOf(ClaimAnswer Answer) noexcept {
+std::string_view nameOf(ClaimOutcome Answer) noexcept {
   static constexpr std::array<std::string_view, 8> Names = {
       "pending",       "granted", "already-run", "may-have-run",
       "other-request", "full",    "not-owner",   "store-down",
--- a/libs/retrying/ClaimTable.h
+++ b/libs/retrying/ClaimTable.h
@@ -33,7 +33,7 @@
 
 /// A claim's answer.
 struct ClaimResult {
-  ClaimAnswer Outcome_ = ClaimAnswer::NotOwner;
+  ClaimOutcome Outcome_ = ClaimOutcome::NotOwner;
   ClaimKey Key_;
   /// Names the permission in finish() and cancel(); 0 where there is none.
   std::uint64_t Grant_ = 0;
@@ -155,7 +155,7 @@
                           base::WallPoint Now);
   void grant(Claim &Written, std::vector<ClaimResult> &Told);
   void forgetOld(base::WallPoint Now);
-  void denyWaiting(ClaimAnswer Answer, std::vector<ClaimResult> &Told);
+  void denyWaiting(ClaimOutcome Answer, std::vector<ClaimResult> &Told);
   bool hasWork(base::WallPoint Now) const noexcept;
 
   Limits Limits_;
@@ -171,7 +171,7 @@
 };
 
 /// \returns the name that stands in log lines.
-std::string_view nameOf(ClaimAnswer Answer) noexcept;
+std::string_view nameOf(ClaimOutcome Answer) noexcept;
 
 } // namespace lychee::retrying
 
--- a/libs/retrying/RetryVerdict.cpp
+++ b/libs/retrying/RetryVerdict.cpp
@@ -26,21 +26,21 @@
     {"cancelled", Ran::Maybe, true},
 }};
 
-const EndRow &rowOf(SendEnd End) noexcept {
+const EndRow &rowOf(SendOutcome End) noexcept {
   return EndRows[static_cast<std::size_t>(End)];
 }
 
-Resend resendRule(const EndRow &Row, const SendFacts &Facts) noexcept {
+RetryRule resendRule(const EndRow &Row, const SendFacts &Facts) noexcept {
   if (Row.Ran_ == Ran::Yes)
-    return Resend::NotNeeded;
+    return RetryRule::NotNeeded;
   if (Row.Cancelled_)
-    return Resend::ForbiddenCancelled;
+    return RetryRule::ForbiddenCancelled;
   if (Facts.AnswerStarted_)
-    return Resend::ForbiddenAnswerStarted;
+    return RetryRule::ForbiddenAnswerStarted;
   if (Row.Ran_ == Ran::No)
-    return Resend::Allowed;
-  return Facts.Idempotent_ ? Resend::AllowedAsIdempotent
-                           : Resend::ForbiddenMayHaveRun;
+    return RetryRule::Allowed;
+  return Facts.Idempotent_ ? RetryRule::AllowedAsIdempotent
+                           : RetryRule::ForbiddenMayHaveRun;
 }
 
 } // namespace
@@ -56,9 +56,9 @@
   return Verdict;
 }
 
-std::string_view nameOf(SendEnd End) noexcept { return rowOf(End).Name_; }
+std::string_view nameOf(SendOutcome End) noexcept { return rowOf(End).Name_; }
 
-std::string_view nameOf(Resend Rule) noexcept {
+std::string_view nameOf(RetryRule Rule) noexcept {
   static constexpr std::array<std::string_view, 6> Names = {
       "not-needed",   "not-run",        "idempotent",
       "may-have-run", "answer-started", "cancelled",
--- a/libs/retrying/RetryVerdict.h
+++ b/libs/retrying/RetryVerdict.h
@@ -53,7 +53,7 @@
 
 /// What is known of a request when its send has ended.
 struct SendFacts {
-  SendEnd End_ = SendEnd::Answered;
+  SendOutcome End_ = SendOutcome::Answered;
   bool Idempotent_ = false;
   /// True where bytes of the answer have gone to the caller already.
   bool AnswerStarted_ = false;
@@ -62,12 +62,13 @@
 /// Whether a request has run and whether it may be sent again.
 struct RetryVerdict {
   Ran Ran_ = Ran::Maybe;
-  Resend Retry_ = Resend::ForbiddenMayHaveRun;
+  RetryRule Retry_ = RetryRule::ForbiddenMayHaveRun;
 
   /// \returns true where the rules allow another send. It still needs a token
   /// of the RetryBudget, time before its deadline and another target.
   constexpr bool mayRetry() const noexcept {
-    return Retry_ == Resend::Allowed || Retry_ == Resend::AllowedAsIdempotent;
+    return Retry_ == RetryRule::Allowed ||
+           Retry_ == RetryRule::AllowedAsIdempotent;
   }
 
   bool operator==(const RetryVerdict &) const = default;
@@ -85,8 +86,8 @@
 RetryVerdict evaluateRetry(const SendFacts &Facts) noexcept;
 
 /// \returns the name that stands in log lines.
-std::string_view nameOf(SendEnd End) noexcept;
-std::string_view nameOf(Resend Rule) noexcept;
+std::string_view nameOf(SendOutcome End) noexcept;
+std::string_view nameOf(RetryRule Rule) noexcept;
 
 } // namespace lychee::retrying
 
--- a/libs/shifting/ColdCost.h
+++ b/libs/shifting/ColdCost.h
@@ -23,7 +23,7 @@
   static constexpr double Unmeasured = 2;
   /// A measured factor is within this; outliers are slowness of other causes.
   static constexpr double Highest = 8;
-  /// Time after which a cache has forgotten half of what it held.
+  /// Time after which a cache has forgotten half of what it holdPlan.
   static constexpr base::Duration HalfForgotten = std::chrono::minutes(10);
 
   /// One of the receiver's own callers' requests took \p Took.
--- a/libs/shifting/ShiftRunner.h
+++ b/libs/shifting/ShiftRunner.h
@@ -38,8 +38,8 @@
 /// Load pattern: a plan moves callers on while its receiver fills up or can no
 /// longer be seen. Without a hold, the next steps overload it. A hold moves no
 /// one back, as callers that are moved have warm caches where they are; it goes
-/// on by single steps at the plan's pace, and never makes up for held time in
-/// one jump.
+/// on by single steps at the plan's pace, and never makes up for holdPlan time
+/// in one jump.
 ///
 /// Going back (an abort) is a move like any other: same step, same pace, and
 /// only as far as From, whose caches have cooled, can take it.
--- a/libs/shifting/ShiftSet.cpp
+++ b/libs/shifting/ShiftSet.cpp
@@ -21,7 +21,7 @@
     Fresh.back().replacePlan(Plan);
   }
   // A plan that was taken out of the settings goes back step by step like an
-  // aborted one: all its callers at once would meet caches that have cooled.
+  // abortPlan one: all its callers at once would meet caches that have cooled.
   for (ShiftRunner &Each : Runners_) {
     const bool Stays =
         std::any_of(Plans.begin(), Plans.end(), [&Each](const ShiftPlan &Plan) {
--- a/libs/steering/ServiceSteering.cpp
+++ b/libs/steering/ServiceSteering.cpp
@@ -19,19 +19,19 @@
 
 using AdmissionAction = admission::AdmissionDecision::Action;
 
-Refusal refusalOf(admission::Cause Cause) noexcept {
+Refusal refusalOf(admission::RefusalReason Cause) noexcept {
   switch (Cause) {
-  case admission::Cause::None:
+  case admission::RefusalReason::None:
     return Refusal::None;
-  case admission::Cause::RateLimited:
+  case admission::RefusalReason::RateLimited:
     return Refusal::OverRate;
-  case admission::Cause::DeadlineTooShort:
+  case admission::RefusalReason::DeadlineTooShort:
     return Refusal::DeadlineTooShort;
-  case admission::Cause::WaitTooLong:
-  case admission::Cause::QueueFull:
-  case admission::Cause::Saturated:
+  case admission::RefusalReason::WaitTooLong:
+  case admission::RefusalReason::QueueFull:
+  case admission::RefusalReason::Saturated:
     return Refusal::QueueFull;
-  case admission::Cause::DeadlineExceeded:
+  case admission::RefusalReason::DeadlineExceeded:
     return Refusal::DeadlinePassed;
   }
   return Refusal::QueueFull;
@@ -171,8 +171,9 @@
   if (Verdict.Action_ == AdmissionAction::Admit)
     return send(Ticket, Wanted, Near, Wanted.Shifted_ ? "shift" : "nearest");
   const bool Waits = Verdict.Action_ == AdmissionAction::Wait;
-  const bool Hopeless = Verdict.Reason_ == admission::Cause::RateLimited ||
-                        Verdict.Reason_ == admission::Cause::DeadlineTooShort;
+  const bool Hopeless =
+      Verdict.Reason_ == admission::RefusalReason::RateLimited ||
+      Verdict.Reason_ == admission::RefusalReason::DeadlineTooShort;
   if (!Waits && Hopeless)
     return refuse(Wanted, Verdict);
   const base::Duration Wait =
@@ -241,7 +242,7 @@
   Taken.Address_ = Where.Pool_->address(Target);
   Taken.Region_ = Where.Pool_->region();
   Taken.Reason_ = Why == "nearest" ? Where.Choice_.Reason_ : Why;
-  for (const placement::Passed &Other : Where.Choice_.passed())
+  for (const placement::PassedOver &Other : Where.Choice_.passed())
     Taken.PassedOver_.push_back({Targets.nameOf(Other.Target_), Other.Reason_});
   Taken.SettingsVersion_ = Version_;
   return Taken;
@@ -330,11 +331,12 @@
                                        base::TimePoint Now) {
   const retrying::RetryVerdict Verdict = retrying::evaluateRetry(
       {Report.Outcome_, Failed.Request_.Idempotent_, Report.AnswerStarted_});
-  if (Verdict.Retry_ == retrying::Resend::NotNeeded)
+  if (Verdict.Retry_ == retrying::RetryRule::NotNeeded)
     return refuse(Refusal::None, Ran::Maybe);
   Failed.MayHaveRun_ = Failed.MayHaveRun_ || Verdict.Ran_ != retrying::Ran::No;
   const Ran MayHaveRun = ranOf(Failed.MayHaveRun_);
-  const bool Cancelled = Verdict.Retry_ == retrying::Resend::ForbiddenCancelled;
+  const bool Cancelled =
+      Verdict.Retry_ == retrying::RetryRule::ForbiddenCancelled;
   if (Cancelled || Failed.Request_.Deadline_ <= Now)
     return refuse(Refusal::DeadlineExceeded, MayHaveRun);
   if (!Verdict.mayRetry() || Failed.Sends_ >= Context_.Limits_.MaxSends_)
--- a/libs/steering/Steering.h
+++ b/libs/steering/Steering.h
@@ -142,7 +142,7 @@
 };
 
 /// The point at which a send to a target ended. \see retrying::evaluateRetry
-using SendOutcome = retrying::SendEnd;
+using SendOutcome = retrying::SendOutcome;
 
 /// How a send went, as this host saw it.
 struct SendReport {
--- a/tests/admission/AdmissionControlTest.cpp
+++ b/tests/admission/AdmissionControlTest.cpp
@@ -8,12 +8,12 @@
 #include "CppUTest/TestHarness.h"
 
 using lychee::admission::AdmissionControl;
-using lychee::admission::AdmissionVerdict;
-using lychee::admission::Arrival;
-using lychee::admission::Cause;
+using lychee::admission::AdmissionDecision;
+using lychee::admission::AdmissionRequest;
 using lychee::admission::CustomerIndex;
-using lychee::admission::GivenUp;
+using lychee::admission::DroppedRequest;
 using lychee::admission::nameOf;
+using lychee::admission::RefusalReason;
 using lychee::base::CustomerId;
 using lychee::base::drawUnit;
 using lychee::base::Duration;
@@ -33,7 +33,7 @@
   struct Counts {
     int Answered_ = 0;
     std::set<std::uint64_t> AnsweredCallers_;
-    std::map<Cause, int> Refused_;
+    std::map<RefusalReason, int> Refused_;
     Duration LongestWait_{};
     Duration LongestToRefuse_{};
   };
@@ -46,18 +46,18 @@
     return Control_.registerCustomer(CustomerId(Name), 1);
   }
 
-  AdmissionVerdict ask(CustomerIndex Customer, Duration Deadline = 2s,
-                       std::uint64_t Caller = 1) {
-    Arrival Asks;
+  AdmissionDecision ask(CustomerIndex Customer, Duration Deadline = 2s,
+                        std::uint64_t Caller = 1) {
+    AdmissionRequest Asks;
     Asks.Ticket_ = ++LastTicket_;
     Asks.Customer_ = Customer;
     Asks.Caller_ = Caller;
     Asks.Deadline_ = Now_ + Deadline;
     Asks.HasCapacity_ = Running_.size() < Slots;
-    const AdmissionVerdict Verdict = Control_.admit(Asks, Now_);
-    if (Verdict.Action_ == AdmissionVerdict::Action::Refuse)
+    const AdmissionDecision Verdict = Control_.admit(Asks, Now_);
+    if (Verdict.Action_ == AdmissionDecision::Action::Refuse)
       ++Of_[Customer].Refused_[Verdict.Reason_];
-    if (Verdict.Action_ == AdmissionVerdict::Action::Admit)
+    if (Verdict.Action_ == AdmissionDecision::Action::Admit)
       start(Customer, Caller, Verdict.ExpectedWork_);
     return Verdict;
   }
@@ -107,7 +107,7 @@
   }
 
   void noteLeft() {
-    for (const GivenUp &Each : Left_) {
+    for (const DroppedRequest &Each : Left_) {
       Counts &Own = Of_[Each.Request_.Customer_];
       ++Own.Refused_[Each.Reason_];
       Own.LongestToRefuse_ =
@@ -121,7 +121,7 @@
   std::uint64_t LastTicket_ = 0;
   std::multimap<TimePoint, Job> Running_;
   std::map<CustomerIndex, Counts> Of_;
-  std::vector<GivenUp> Left_;
+  std::vector<DroppedRequest> Left_;
 };
 
 int refusedIn(const Service::Counts &Own) {
@@ -143,39 +143,40 @@
     Two_ = Service_.customer("two");
   }
 
-  void expectRefused(Cause Expected, const AdmissionVerdict &Verdict) const {
-    CHECK(AdmissionVerdict::Action::Refuse == Verdict.Action_);
+  void expectRefused(RefusalReason Expected, const AdmissionDecision &Verdict)
+      const {
+    CHECK(AdmissionDecision::Action::Refuse == Verdict.Action_);
     STRCMP_EQUAL(std::string(nameOf(Expected)).c_str(),
                  std::string(nameOf(Verdict.Reason_)).c_str());
   }
 };
 
 TEST(AdmissionControl, whoeverIsOverItsRateIsRefusedBeforeRoomIsLookedAt) {
-  Arrival Asks;
+  AdmissionRequest Asks;
   Asks.Customer_ = One_;
   Asks.Deadline_ = Service_.now() + 2s;
   Asks.HasCapacity_ = true;
   Asks.Rate_ = {false, 300ms};
-  const AdmissionVerdict Verdict =
+  const AdmissionDecision Verdict =
       Service_.control().admit(Asks, Service_.now());
-  expectRefused(Cause::RateLimited, Verdict);
+  expectRefused(RefusalReason::RateLimited, Verdict);
   CHECK(300ms == Verdict.RetryAfter_);
 }
 
 TEST(AdmissionControl, whatCannotEndInTimeIsRefusedAtOnce) {
-  const AdmissionVerdict Verdict = Service_.ask(One_, 10ms);
-  expectRefused(Cause::DeadlineTooShort, Verdict);
+  const AdmissionDecision Verdict = Service_.ask(One_, 10ms);
+  expectRefused(RefusalReason::DeadlineTooShort, Verdict);
   CHECK(Duration::zero() == Verdict.RetryAfter_);
 }
 
 TEST(AdmissionControl, aNewcomerDoesNotTakeTheRoomOfThoseInLine) {
   for (int Each = 0; Each < 5; ++Each)
     Service_.ask(One_);
-  Arrival Asks;
+  AdmissionRequest Asks;
   Asks.Customer_ = Two_;
   Asks.Deadline_ = Service_.now() + 2s;
   Asks.HasCapacity_ = true;
-  CHECK(AdmissionVerdict::Action::Wait ==
+  CHECK(AdmissionDecision::Action::Wait ==
         Service_.control().admit(Asks, Service_.now()).Action_);
 }
 
@@ -194,7 +195,7 @@
 TEST(AdmissionControl, whatDoesNotFitOfABurstIsRefusedAtOnce) {
   int RefusedAtOnce = 0;
   for (int Each = 0; Each < 1000; ++Each)
-    if (Service_.ask(One_).Action_ == AdmissionVerdict::Action::Refuse)
+    if (Service_.ask(One_).Action_ == AdmissionDecision::Action::Refuse)
       ++RefusedAtOnce;
   Service_.run(3s);
   CHECK(Service_.of(One_).Answered_ >= 390);
@@ -205,16 +206,16 @@
 // A refused caller is told when to come back. The figure is true: after that
 // time, with nothing else coming, the same request is let in.
 TEST(AdmissionControl, retryAfterIsTrue) {
-  AdmissionVerdict Refused;
+  AdmissionDecision Refused;
   for (int Each = 0; Each < 1000; ++Each) {
     Refused = Service_.ask(One_);
-    if (Refused.Action_ == AdmissionVerdict::Action::Refuse)
+    if (Refused.Action_ == AdmissionDecision::Action::Refuse)
       break;
   }
-  expectRefused(Cause::WaitTooLong, Refused);
+  expectRefused(RefusalReason::WaitTooLong, Refused);
   CHECK(Refused.RetryAfter_ > Duration::zero());
   Service_.run(Refused.RetryAfter_ + Work);
-  CHECK(AdmissionVerdict::Action::Refuse != Service_.ask(One_).Action_);
+  CHECK(AdmissionDecision::Action::Refuse != Service_.ask(One_).Action_);
 }
 
 // One customer sends five times what the service can do, another a tenth of it.
--- a/tests/admission/FairQueueTest.cpp
+++ b/tests/admission/FairQueueTest.cpp
@@ -7,8 +7,8 @@
 
 using lychee::admission::CustomerIndex;
 using lychee::admission::FairQueue;
-using lychee::admission::Place;
-using lychee::admission::Waiting;
+using lychee::admission::QueuedRequest;
+using lychee::admission::QueuePosition;
 using lychee::base::CustomerId;
 using lychee::base::Duration;
 using namespace std::chrono_literals;
@@ -30,8 +30,8 @@
     return Queue_.enrol(CustomerId(Name), Weight);
   }
 
-  Place push(CustomerIndex Customer, std::uint64_t Caller = 1) {
-    Waiting Request;
+  QueuePosition push(CustomerIndex Customer, std::uint64_t Caller = 1) {
+    QueuedRequest Request;
     Request.Ticket_ = ++LastTicket_;
     Request.Customer_ = Customer;
     Request.Caller_ = Caller;
@@ -45,8 +45,8 @@
   }
 
   /// \returns whose turn it is; ticket 0 where the queue is empty.
-  Waiting pop(bool (*Order)(CustomerIndex) = oldestFirst) {
-    return Queue_.pop(Order).value_or(Waiting());
+  QueuedRequest pop(bool (*Order)(CustomerIndex) = oldestFirst) {
+    return Queue_.pop(Order).value_or(QueuedRequest());
   }
 
   /// Serves \p Count requests, each of which takes \p Took of its customer.
@@ -54,7 +54,7 @@
       int Count, const std::map<CustomerIndex, Duration> &Took = {}) {
     std::map<CustomerIndex, int> Served;
     for (int Each = 0; Each < Count; ++Each) {
-      const Waiting Chosen = pop();
+      const QueuedRequest Chosen = pop();
       ++Served[Chosen.Customer_];
       const auto Known = Took.find(Chosen.Customer_);
       if (Known != Took.end())
@@ -147,8 +147,8 @@
 
 TEST(FairQueue, aRequestIsGivenUpOnceAndOnlyOnce) {
   const CustomerIndex Only = customer("one");
-  const Place Second = (push(Only), push(Only));
-  LONGS_EQUAL(2, Queue_.remove(Second).value_or(Waiting()).Ticket_);
+  const QueuePosition Second = (push(Only), push(Only));
+  LONGS_EQUAL(2, Queue_.remove(Second).value_or(QueuedRequest()).Ticket_);
   CHECK_FALSE(Queue_.remove(Second).has_value());
   push(Only); // takes the freed place
   CHECK_FALSE(Queue_.remove(Second).has_value());
--- a/tests/claims/ClaimPartitionTest.cpp
+++ b/tests/claims/ClaimPartitionTest.cpp
@@ -14,9 +14,9 @@
 using lychee::claims::ClaimCodec;
 using lychee::claims::ClaimPartition;
 using lychee::tests::FakeStore;
-using retrying::ClaimAnswer;
 using retrying::ClaimKey;
-using retrying::ClaimVerdict;
+using retrying::ClaimOutcome;
+using retrying::ClaimResult;
 
 namespace {
 
@@ -32,12 +32,12 @@
 TEST_GROUP(ClaimPartition) {
   boost::asio::io_context Context_;
   FakeStore Store_;
-  std::map<ClaimKey, std::vector<ClaimVerdict>> Told_;
+  std::map<ClaimKey, std::vector<ClaimResult>> Told_;
 
   std::unique_ptr<ClaimPartition> makeOwner(std::uint64_t Start) {
     auto Made = std::make_unique<ClaimPartition>(
         Context_.get_executor(), Store_, 0, Start,
-        [this](const base::HostId &, const ClaimVerdict &Verdict) {
+        [this](const base::HostId &, const ClaimResult &Verdict) {
           Told_[Verdict.Key_].push_back(Verdict);
         });
     Made->own(1);
@@ -51,9 +51,9 @@
     Context_.run();
   }
 
-  ClaimAnswer ask(ClaimPartition & Owner, int Number) {
-    const ClaimVerdict Verdict = Owner.claim(key(Number), Fingerprint, Asker);
-    if (Verdict.Outcome_ != ClaimAnswer::Pending)
+  ClaimOutcome ask(ClaimPartition & Owner, int Number) {
+    const ClaimResult Verdict = Owner.claim(key(Number), Fingerprint, Asker);
+    if (Verdict.Outcome_ != ClaimOutcome::Pending)
       return Verdict.Outcome_;
     settle();
     LONGS_EQUAL(1, Told_[key(Number)].size());
@@ -76,9 +76,9 @@
 
 TEST(ClaimPartition, aClaimIsGrantedOnceItStandsInTheStore) {
   const auto Owner = makeOwner(1);
-  CHECK(ClaimAnswer::Granted == ask(*Owner, 1));
+  CHECK(ClaimOutcome::Granted == ask(*Owner, 1));
   CHECK(stands(1));
-  CHECK(ClaimAnswer::MayHaveRun == ask(*Owner, 1));
+  CHECK(ClaimOutcome::MayHaveRun == ask(*Owner, 1));
 }
 
 TEST(ClaimPartition, aBurstOfClaimsSharesItsWrites) {
@@ -96,11 +96,11 @@
 TEST(ClaimPartition, withoutTheStoreNothingIsGranted) {
   const auto Owner = makeOwner(1);
   Store_.Down_ = true;
-  CHECK(ClaimAnswer::StoreUnavailable == ask(*Owner, 1));
+  CHECK(ClaimOutcome::StoreUnavailable == ask(*Owner, 1));
   CHECK_FALSE(stands(1));
   Store_.Down_ = false;
   Told_.clear();
-  CHECK(ClaimAnswer::Granted == ask(*Owner, 1));
+  CHECK(ClaimOutcome::Granted == ask(*Owner, 1));
 }
 
 // The store takes the write and its answer is lost. The claim may stand or not:
@@ -110,7 +110,7 @@
   const auto Owner = makeOwner(1);
   Store_.LoseAnswerOf_ = "claims/0";
   Store_.LostAnswers_ = 1;
-  CHECK(ClaimAnswer::Granted == ask(*Owner, 1));
+  CHECK(ClaimOutcome::Granted == ask(*Owner, 1));
   CHECK(stands(1));
 }
 
@@ -118,7 +118,7 @@
   const auto Owner = makeOwner(1);
   Store_.LoseRequestTo_ = "claims/0";
   Store_.LostRequests_ = 1;
-  CHECK(ClaimAnswer::Granted == ask(*Owner, 1));
+  CHECK(ClaimOutcome::Granted == ask(*Owner, 1));
   CHECK(stands(1));
 }
 
@@ -128,47 +128,47 @@
 // there, so the store refuses it and nothing is granted twice.
 TEST(ClaimPartition, aPausedOwnerIsFencedByTheObjectsVersion) {
   const auto Paused = makeOwner(1);
-  CHECK(ClaimAnswer::Granted == ask(*Paused, 1));
+  CHECK(ClaimOutcome::Granted == ask(*Paused, 1));
   const auto Next = makeOwner(2);
-  CHECK(ClaimAnswer::MayHaveRun == ask(*Next, 1));
-  CHECK(ClaimAnswer::Granted == ask(*Next, 2));
+  CHECK(ClaimOutcome::MayHaveRun == ask(*Next, 1));
+  CHECK(ClaimOutcome::Granted == ask(*Next, 2));
   Told_.clear();
-  CHECK(ClaimAnswer::NotOwner == ask(*Paused, 2));
+  CHECK(ClaimOutcome::NotOwner == ask(*Paused, 2));
   // Read anew, it knows the other's grant.
-  CHECK(ClaimAnswer::MayHaveRun == ask(*Paused, 2));
+  CHECK(ClaimOutcome::MayHaveRun == ask(*Paused, 2));
 }
 
 TEST(ClaimPartition, aGrantProvenNotToHaveRunIsGivenAgain) {
   const auto Owner = makeOwner(1);
-  CHECK(ClaimAnswer::Granted == ask(*Owner, 1));
+  CHECK(ClaimOutcome::Granted == ask(*Owner, 1));
   Owner->finish(key(1), Told_[key(1)].front().Grant_, retrying::Ran::No, 0);
   settle();
   Told_.clear();
-  CHECK(ClaimAnswer::Granted == ask(*Owner, 1));
+  CHECK(ClaimOutcome::Granted == ask(*Owner, 1));
 }
 
 // The holder's word that its grant did not run is late: the grant after it has
 // been given, and runs. Freed by the old word, it would run a second time.
 TEST(ClaimPartition, aLateWordOnAnOldGrantFreesNothing) {
   const auto Owner = makeOwner(1);
-  CHECK(ClaimAnswer::Granted == ask(*Owner, 1));
+  CHECK(ClaimOutcome::Granted == ask(*Owner, 1));
   const std::uint64_t Old = Told_[key(1)].front().Grant_;
   Owner->finish(key(1), Old, retrying::Ran::No, 0);
   settle();
   Told_.clear();
-  CHECK(ClaimAnswer::Granted == ask(*Owner, 1));
+  CHECK(ClaimOutcome::Granted == ask(*Owner, 1));
   Owner->finish(key(1), Old, retrying::Ran::No, 0);
   settle();
-  CHECK(ClaimAnswer::MayHaveRun == ask(*Owner, 1));
+  CHECK(ClaimOutcome::MayHaveRun == ask(*Owner, 1));
 }
 
 TEST(ClaimPartition, anOutcomeIsRecorded) {
   const auto Owner = makeOwner(1);
-  CHECK(ClaimAnswer::Granted == ask(*Owner, 1));
+  CHECK(ClaimOutcome::Granted == ask(*Owner, 1));
   Owner->finish(key(1), Told_[key(1)].front().Grant_, retrying::Ran::Yes, 201);
-  const ClaimVerdict Again = Owner->claim(key(1), Fingerprint, Asker);
-  CHECK(ClaimAnswer::AlreadyRun == Again.Outcome_);
+  const ClaimResult Again = Owner->claim(key(1), Fingerprint, Asker);
+  CHECK(ClaimOutcome::AlreadyRun == Again.Outcome_);
   LONGS_EQUAL(201, Again.Status_);
-  CHECK(ClaimAnswer::KeyReused ==
+  CHECK(ClaimOutcome::KeyReused ==
         Owner->claim(key(1), Fingerprint + 1, Asker).Outcome_);
 }
--- a/tests/dispatch/DispatchPlayTest.cpp
+++ b/tests/dispatch/DispatchPlayTest.cpp
@@ -18,7 +18,7 @@
 namespace live = lychee::live;
 namespace steering = lychee::steering;
 using steering::Decision;
-using steering::SendEnd;
+using steering::SendOutcome;
 using namespace std::chrono_literals;
 
 namespace {
@@ -197,7 +197,7 @@
     Target &To = Targets_[Index];
     const bool Sheds = Index == 0 && base::drawUnit(Random_) < Load_.Refused_;
     if (Sheds || To.Waiting_.size() >= 3UL * Load_.Slots_) {
-      end(One, SendEnd::Shed, To);
+      end(One, SendOutcome::Shed, To);
       return;
     }
     at(One->Arrived_ + Load_.Deadline_, [this, One, &To] { giveUp(One, To); });
@@ -220,7 +220,7 @@
         if (One->GivenUp_)
           ++Result_.Wasted_;
         else
-          end(One, SendEnd::Answered, At);
+          end(One, SendOutcome::Answered, At);
         begin(At);
       });
     }
@@ -243,13 +243,13 @@
     if (One->GivenUp_)
       return;
     ++Result_.Late_;
-    end(One, SendEnd::Cancelled, At);
+    end(One, SendOutcome::Cancelled, At);
   }
 
-  void end(const Shared &One, SendEnd How, const Target &At) {
+  void end(const Shared &One, SendOutcome How, const Target &At) {
     steering::SendReport Report;
     Report.Outcome_ = How;
-    Report.Status_ = How == SendEnd::Answered ? 200 : 503;
+    Report.Status_ = How == SendOutcome::Answered ? 200 : 503;
     Report.Took_ = Now_ - One->Sent_;
     Report.Load_ = steering::TargetLoad{
         At.Running_, static_cast<std::uint32_t>(At.Waiting_.size()),
@@ -257,13 +257,13 @@
     std::vector<steering::Wakeup> Woken;
     const Decision After =
         One->Host_->finish(One->Decision_.Ticket_, Report, Now_, Woken);
-    if (How == SendEnd::Shed) {
+    if (How == SendOutcome::Shed) {
       One->Decision_ = After;
       follow(One);
       return;
     }
     One->GivenUp_ = true;
-    if (How == SendEnd::Answered)
+    if (How == SendOutcome::Answered)
       ++(Now_ - One->Arrived_ <= Load_.Objective_ ? Result_.InTime_
                                                   : Result_.Late_);
   }
--- a/tests/dispatch/DispatchSteeringTest.cpp
+++ b/tests/dispatch/DispatchSteeringTest.cpp
@@ -11,7 +11,7 @@
 using lychee::steering::Ran;
 using lychee::steering::Refusal;
 using lychee::steering::Request;
-using lychee::steering::SendEnd;
+using lychee::steering::SendOutcome;
 using lychee::steering::SendReport;
 using namespace std::chrono_literals;
 
@@ -65,7 +65,7 @@
     return Made;
   }
   Decision arrive(const Request &Made) { return Steering_.arrive(Made, Now_); }
-  Decision finish(const Decision &Sent, SendEnd End, int Status = 0,
+  Decision finish(const Decision &Sent, SendOutcome End, int Status = 0,
                   bool Silent = false) {
     SendReport Report;
     Report.Outcome_ = End;
@@ -82,7 +82,7 @@
 TEST(DispatchSteering, aLostBookingIsNotSentAgainAndMayHaveRun) {
   const Decision Sent = arrive(requestOf(false));
   CHECK(Sent.Action_ == Decision::Action::Send);
-  const Decision After = finish(Sent, SendEnd::LostBeforeResponse);
+  const Decision After = finish(Sent, SendOutcome::LostBeforeResponse);
   CHECK(After.Action_ == Decision::Action::Refuse);
   CHECK(After.Refusal_ == Refusal::TargetFailed);
   CHECK(After.Ran_ == Ran::Maybe);
@@ -90,7 +90,7 @@
 
 TEST(DispatchSteering, aShedBookingGoesToAnotherTarget) {
   const Decision Sent = arrive(requestOf(false));
-  const Decision After = finish(Sent, SendEnd::Shed, 503);
+  const Decision After = finish(Sent, SendOutcome::Shed, 503);
   CHECK(After.Action_ == Decision::Action::Send);
   CHECK(After.Target_ != Sent.Target_);
 }
@@ -99,17 +99,17 @@
 // not hold for the second.
 TEST(DispatchSteering, aBookingShedAndThenLostMayHaveRun) {
   const Decision First = arrive(requestOf(false, 3));
-  const Decision Second = finish(First, SendEnd::Shed, 503);
-  CHECK(finish(Second, SendEnd::LostBeforeResponse).Ran_ == Ran::Maybe);
+  const Decision Second = finish(First, SendOutcome::Shed, 503);
+  CHECK(finish(Second, SendOutcome::LostBeforeResponse).Ran_ == Ran::Maybe);
 }
 
 // A look-up was lost, sent again and shed everywhere. The first target may have
 // run it; "503, not run" would be a lie.
 TEST(DispatchSteering, aLookupLostAndThenShedMayHaveRun) {
   const Decision First = arrive(requestOf(true));
-  const Decision Second = finish(First, SendEnd::LostBeforeResponse);
+  const Decision Second = finish(First, SendOutcome::LostBeforeResponse);
   CHECK(Second.Action_ == Decision::Action::Send);
-  const Decision After = finish(Second, SendEnd::Shed, 503);
+  const Decision After = finish(Second, SendOutcome::Shed, 503);
   CHECK(After.Action_ == Decision::Action::Refuse);
   CHECK(After.Ran_ == Ran::Maybe);
 }
@@ -119,24 +119,24 @@
   int Sends = 0;
   while (Made.Action_ == Decision::Action::Send) {
     ++Sends;
-    Made = finish(Made, SendEnd::Shed, 503);
+    Made = finish(Made, SendOutcome::Shed, 503);
   }
   LONGS_EQUAL(2, Sends);
 }
 
 TEST(DispatchSteering, aFailedConnectIsNoSend) {
   const Decision First = arrive(requestOf(false, 1));
-  const Decision Second = finish(First, SendEnd::ConnectFailed);
+  const Decision Second = finish(First, SendOutcome::ConnectFailed);
   CHECK(Second.Action_ == Decision::Action::Send);
   CHECK(Second.Target_ != First.Target_);
 }
 
 TEST(DispatchSteering, aFailureOfTheTargetsOwnIsTriedElsewhereWhereItMayBe) {
   const Decision Lookup = arrive(requestOf(true));
-  CHECK(finish(Lookup, SendEnd::Answered, 500).Action_ ==
+  CHECK(finish(Lookup, SendOutcome::Answered, 500).Action_ ==
         Decision::Action::Send);
   const Decision Booking = arrive(requestOf(false));
-  CHECK(finish(Booking, SendEnd::Answered, 500).Action_ !=
+  CHECK(finish(Booking, SendOutcome::Answered, 500).Action_ !=
         Decision::Action::Send);
 }
 
@@ -210,11 +210,11 @@
     Targets_.clear();
     addTarget(Name);
     push();
-    finish(arrive(requestOf(false)), SendEnd::LostBeforeResponse);
+    finish(arrive(requestOf(false)), SendOutcome::LostBeforeResponse);
     Request Other = requestOf(false);
     Other.Fingerprint_ = 99;
     CHECK(arrive(requestOf(false)).Refusal_ != Refusal::CrashSuspect);
-    finish(arrive(Other), SendEnd::ConnectFailed);
+    finish(arrive(Other), SendOutcome::ConnectFailed);
   }
   CHECK(arrive(requestOf(false)).Refusal_ == Refusal::CrashSuspect);
   Request Innocent = requestOf(false);
@@ -225,7 +225,7 @@
 TEST(DispatchSteering, anotherTargetAtTheAddressIsNotSentToAgain) {
   const Decision Sent = arrive(requestOf(true));
   SendReport Report;
-  Report.End_ = SendEnd::Shed;
+  Report.End_ = SendOutcome::Shed;
   Report.Status_ = 421;
   Report.WrongTarget_ = true;
   Steering_.finish(Sent.Ticket_, Report, Now_, Woken_);
@@ -249,7 +249,7 @@
 // of its earlier start says nothing about it.
 TEST(DispatchSteering, aNewStartIsATargetOfItsOwn) {
   const Decision Sent = arrive(requestOf(true));
-  finish(Sent, SendEnd::ConnectFailed);
+  finish(Sent, SendOutcome::ConnectFailed);
   for (live::KnownTarget &Each : Targets_)
     Each.Record_.Started_ = 2;
   push();
--- a/tests/dispatch/RateDivisionTest.cpp
+++ b/tests/dispatch/RateDivisionTest.cpp
@@ -14,8 +14,8 @@
 namespace base = lychee::base;
 namespace live = lychee::live;
 namespace members = lychee::members;
+using lychee::dispatch::CustomerRateLimiter;
 using lychee::dispatch::FleetDemand;
-using lychee::dispatch::RateDivision;
 using lychee::dispatch::RateVerdict;
 using namespace std::chrono_literals;
 
@@ -39,7 +39,7 @@
     Rule_.RatePerSecond_ = Rate;
     Rule_.Burst_ = Burst;
     for (std::size_t Host = 0; Host < Count; ++Host) {
-      Hosts_.push_back(std::make_unique<RateDivision>(Bounds_, Now_));
+      Hosts_.push_back(std::make_unique<CustomerRateLimiter>(Bounds_, Now_));
       Hosts_.back()->setCustomers(std::span(&Rule_, 1), Now_);
     }
     Told_.resize(Count);
@@ -115,7 +115,7 @@
 
   /// The host ends, and starts again without a memory.
   void restart(std::size_t Host) {
-    Hosts_[Host] = std::make_unique<RateDivision>(Bounds_, Now_);
+    Hosts_[Host] = std::make_unique<CustomerRateLimiter>(Bounds_, Now_);
     Hosts_[Host]->setCustomers(std::span(&Rule_, 1), Now_);
     Told_[Host].clear();
   }
@@ -202,7 +202,7 @@
   std::vector<std::optional<base::TimePoint>> Downs_;
   base::TimePoint Now_ = base::TimePoint(100s);
   base::Random Random_{7};
-  std::vector<std::unique_ptr<RateDivision>> Hosts_;
+  std::vector<std::unique_ptr<CustomerRateLimiter>> Hosts_;
   std::vector<std::vector<members::CustomerDemand>> Told_;
   std::deque<members::DemandDeltaEncoder> Tellers_;
   std::uint64_t Beat_ = 0;
@@ -220,11 +220,11 @@
 
 } // namespace
 
-TEST_GROUP(RateDivision){};
+TEST_GROUP(CustomerRateLimiter){};
 
 // A small customer asks a dozen hosts once a second each, well within its rate.
 // With a twelfth of its burst at each host chance refuses every tenth.
-TEST(RateDivision, aSmallCustomerWithinItsRateIsHardlyRefused) {
+TEST(CustomerRateLimiter, aSmallCustomerWithinItsRateIsHardlyRefused) {
   Fleet Hosts(12, 18, 18);
   Hosts.play(8, std::vector<double>(12, 0));
   CHECK(Hosts.play(30, std::vector<double>(12, 0.95)) < 0.03);
@@ -233,7 +233,7 @@
 // Seventy-one hosts, and a customer whose requests come to each of them every
 // fourth second or so, well within its rate. Cut into a part for each host, the
 // rate is one request in two to ten seconds there, and chance refuses a third.
-TEST(RateDivision, manyHostsHardlyRefuseWhatIsWithinTheRate) {
+TEST(CustomerRateLimiter, manyHostsHardlyRefuseWhatIsWithinTheRate) {
   for (const double Demand : {4.0, 16.0, 64.0}) {
     Fleet Hosts(71, Demand * 1.6, Demand * 1.6);
     const std::vector<double> Each(71, Demand / 71);
@@ -244,7 +244,7 @@
 
 // The same customers at seven and a half times their usual demand, after calm
 // seconds in which everything that can be saved up was.
-TEST(RateDivision, aHotCustomerAtManyHostsGetsNoMoreThanItsRate) {
+TEST(CustomerRateLimiter, aHotCustomerAtManyHostsGetsNoMoreThanItsRate) {
   for (const double Demand : {4.0, 16.0, 64.0}) {
     Fleet Hosts(71, Demand * 1.6, Demand * 1.6);
     Hosts.play(10, std::vector<double>(71, Demand / 71));
@@ -256,7 +256,8 @@
 // The same while hosts wait for their processors, so that many answers of
 // keepers come too late and the next in line is asked, too. Whoever answers,
 // the two together give no more than the region's part.
-TEST(RateDivision, keepersThatAnswerLateAndThoseAskedInTheirPlaceGiveNoMore) {
+TEST(CustomerRateLimiter,
+     keepersThatAnswerLateAndThoseAskedInTheirPlaceGiveNoMore) {
   for (const double Late : {0.2, 0.5, 0.9}) {
     Fleet Hosts(66, 276, 276);
     Hosts.play(10, std::vector<double>(66, 276 / 1.6 / 66));
@@ -269,7 +270,8 @@
 // A customer's demand grows sevenfold in all regions at once. Each knows its
 // own callers before the others', so each takes its part for a larger one;
 // together they must not give more than there is meanwhile.
-TEST(RateDivision, demandThatGrowsEverywhereAtOnceGetsNoMoreThanTheRate) {
+TEST(CustomerRateLimiter,
+     demandThatGrowsEverywhereAtOnceGetsNoMoreThanTheRate) {
   for (const double Rate : {20.0, 276.0}) {
     Fleet Hosts(66, Rate, Rate);
     Hosts.play(10, std::vector<double>(66, Rate / 1.6 / 66));
@@ -282,7 +284,7 @@
 
 // Guards against regions that each take the first demand, or one that grows
 // everywhere, for theirs alone until they hear the others.
-TEST(RateDivision, regionsThatHearOfEachOtherLateGiveNoMoreThanTheRate) {
+TEST(CustomerRateLimiter, regionsThatHearOfEachOtherLateGiveNoMoreThanTheRate) {
   for (const double Rate : {20.0, 247.0}) {
     for (const base::Duration Delay : {500ms, 1000ms}) {
       Fleet Hosts(66, Rate, Rate);
@@ -298,7 +300,7 @@
 // Hosts end, stay away, come back without a memory, and now and then all
 // restart, while a customer sends several times its rate at some hosts more
 // than at others. Whoever keeps the tokens, no more passes.
-TEST(RateDivision, hostsThatComeAndGoGiveNoMoreThanTheRate) {
+TEST(CustomerRateLimiter, hostsThatComeAndGoGiveNoMoreThanTheRate) {
   for (std::uint64_t Seed = 1; Seed <= 20; ++Seed) {
     base::Random Random(Seed);
     Fleet Hosts(12, 60, 60);
@@ -324,7 +326,7 @@
 
 // The keeper of a region's tokens ends. Until the others notice, the next in
 // line is asked and has none, and then it takes over; the other regions go on.
-TEST(RateDivision, aRegionWhoseKeeperEndsIsServedAgainWithinSeconds) {
+TEST(CustomerRateLimiter, aRegionWhoseKeeperEndsIsServedAgainWithinSeconds) {
   Fleet Hosts(12, 60, 60);
   const std::vector<double> Each(12, 3);
   Hosts.play(10, Each);
@@ -336,7 +338,7 @@
 
 // One customer sends eight times its rate to all hosts. What passes stays
 // within rate and burst over all hosts together.
-TEST(RateDivision, aHotCustomerGetsNoMoreThanItsRate) {
+TEST(CustomerRateLimiter, aHotCustomerGetsNoMoreThanItsRate) {
   Fleet Hosts(12, 60, 60);
   Hosts.play(8, std::vector<double>(12, 0));
   Hosts.play(10, std::vector<double>(12, 4));
@@ -346,7 +348,7 @@
 
 // The same where heartbeats tell only what changed: a demand that grows by less
 // than is told must not grow past the rate at all hosts together.
-TEST(RateDivision, aHotCustomerToldByChangesGetsNoMoreThanItsRate) {
+TEST(CustomerRateLimiter, aHotCustomerToldByChangesGetsNoMoreThanItsRate) {
   for (const double Grown : {4.5, 6.0, 12.0, 40.0}) {
     Fleet Hosts(12, 60, 60, true);
     Hosts.play(8, std::vector<double>(12, 0));
@@ -358,7 +360,7 @@
 
 // The customer's callers move from six hosts to the other six, and back, while
 // it sends more than its rate.
-TEST(RateDivision, callersThatMoveDoNotGetMore) {
+TEST(CustomerRateLimiter, callersThatMoveDoNotGetMore) {
   Fleet Hosts(12, 60, 60);
   std::vector<double> First(12, 0);
   std::vector<double> Second(12, 0);
@@ -375,7 +377,7 @@
 // which each region's tokens were saved up. A region that hears of its own
 // callers at once must not take its new part before the others can have heard
 // and given theirs away, nor may those keep what they saved for a larger part.
-TEST(RateDivision, callersThatMoveBetweenRegionsDoNotGetMore) {
+TEST(CustomerRateLimiter, callersThatMoveBetweenRegionsDoNotGetMore) {
   for (const double Times : {1.0, 2.0, 7.5}) {
     Fleet Hosts(12, 65, 65);
     std::vector<double> Even(12, 65 / 1.6 / 12);
@@ -394,13 +396,13 @@
 // The whole fleet restarts in the middle of a flood. Buckets that started full
 // would give the customer a second burst, and hosts that do not know each
 // other yet would each take the whole rate.
-TEST(RateDivision, aFleetThatStartsGivesNoSecondBurst) {
+TEST(CustomerRateLimiter, aFleetThatStartsGivesNoSecondBurst) {
   Fleet Hosts(12, 60, 60);
   Hosts.play(10, std::vector<double>(12, 40));
   CHECK(Hosts.mostInWindow() <= allowedInWindow(60, 60));
 }
 
-TEST(RateDivision, callersOnOneHostGetTheWholeRate) {
+TEST(CustomerRateLimiter, callersOnOneHostGetTheWholeRate) {
   Fleet Hosts(12, 60, 60);
   std::vector<double> One(12, 0);
   One[3] = 45;
@@ -411,13 +413,13 @@
 // The keeper of a region's tokens is cut off while a customer sends five times
 // its rate to all hosts. The region picks another one; the old one must not go
 // on giving its own callers the region's part.
-TEST(RateDivision, aKeeperThatIsCutOffKeepsToItsOwnPart) {
+TEST(CustomerRateLimiter, aKeeperThatIsCutOffKeepsToItsOwnPart) {
   live::DeploymentBounds Bounds;
   live::CustomerRule Rule;
   Rule.Id_ = Customer;
   Rule.RatePerSecond_ = 90;
   base::TimePoint Now(100s);
-  RateDivision Keeper(Bounds, Now);
+  CustomerRateLimiter Keeper(Bounds, Now);
   Keeper.setCustomers(std::span(&Rule, 1), Now);
   FleetDemand Heard;
   Heard.Self_.Region_ = base::RegionId("r");
@@ -450,13 +452,13 @@
 // Cut off from all others it finds no keeper, and goes by half of what its own
 // callers asked of the whole; that what it missed is divided anew elsewhere
 // must not give it more.
-TEST(RateDivision, aHostThatIsCutOffKeepsToItsOwnPart) {
+TEST(CustomerRateLimiter, aHostThatIsCutOffKeepsToItsOwnPart) {
   live::DeploymentBounds Bounds;
   live::CustomerRule Rule;
   Rule.Id_ = Customer;
   Rule.RatePerSecond_ = 160;
   base::TimePoint Now(100s);
-  RateDivision Host(Bounds, Now);
+  CustomerRateLimiter Host(Bounds, Now);
   Host.setCustomers(std::span(&Rule, 1), Now);
   const auto Ask = [&] { Host.take(Customer, Now); };
   FleetDemand Heard;
--- a/tests/dispatch/SmallDecisionsTest.cpp
+++ b/tests/dispatch/SmallDecisionsTest.cpp
@@ -35,13 +35,13 @@
   CHECK(Budget.spend());
 }
 
-TEST_GROUP(ColdAllowance){};
+TEST_GROUP(ColdTargetRateLimiter){};
 
 // Two hosts each believe that they are picked, for the seconds in which a third
 // one's end goes unnoticed. Together they stay at 1.5 times the rate.
-TEST(ColdAllowance, twoHostsStayWithinTheBound) {
-  dispatch::ColdAllowance First;
-  dispatch::ColdAllowance Second;
+TEST(ColdTargetRateLimiter, twoHostsStayWithinTheBound) {
+  dispatch::ColdTargetRateLimiter First;
+  dispatch::ColdTargetRateLimiter Second;
   int Sent = 0;
   for (int Step = 0; Step < 1000; ++Step) {
     const base::TimePoint Now(100s + Step * 1ms);
@@ -56,9 +56,9 @@
 // has no stated rate for cold targets, so none could be sounded, and every
 // request was refused until the hosts were started again. They are sounded at
 // the rate that deployments state where they state one.
-TEST(ColdAllowance, withoutAStatedRateTargetsAreSoundedAllTheSame) {
-  dispatch::ColdAllowance First;
-  dispatch::ColdAllowance Second;
+TEST(ColdTargetRateLimiter, withoutAStatedRateTargetsAreSoundedAllTheSame) {
+  dispatch::ColdTargetRateLimiter First;
+  dispatch::ColdTargetRateLimiter Second;
   int Sent = 0;
   for (int Step = 0; Step < 1000; ++Step) {
     const base::TimePoint Now(100s + Step * 1ms);
@@ -69,18 +69,18 @@
   CHECK(Sent >= 6);
 }
 
-TEST_GROUP(TargetTrust) {
-  dispatch::TargetTrust Trust_;
+TEST_GROUP(TargetHealth) {
+  dispatch::TargetHealth Trust_;
   base::TimePoint Now_ = base::TimePoint(100s);
 };
 
 // The way to a target is cut for a moment; the target is well, and its entry
 // never changes. Only the host that is picked would sound it, and a host that
 // lost all targets so refused every request until it was started again.
-TEST(TargetTrust, aTargetWhoseEntryStandsIsTrustedAgain) {
+TEST(TargetHealth, aTargetWhoseEntryStandsIsTrustedAgain) {
   Trust_.unreachable(Now_);
-  CHECK(Trust_.isOnProbation(Now_ + dispatch::TargetTrust::EntryProof - 1ms));
-  Now_ += dispatch::TargetTrust::EntryProof;
+  CHECK(Trust_.isOnProbation(Now_ + dispatch::TargetHealth::EntryProof - 1ms));
+  Now_ += dispatch::TargetHealth::EntryProof;
   CHECK_FALSE(Trust_.isOnProbation(Now_));
   Trust_.answered(Now_);
   CHECK_FALSE(Trust_.isOnProbation(Now_));
@@ -88,19 +88,19 @@
 
 // A target ends. Its entry stays for seconds; it is out after one connect that
 // failed, and sounded by one host alone until it has answered for a while.
-TEST(TargetTrust, anUnreachableTargetIsOutAndThenOnProbation) {
+TEST(TargetHealth, anUnreachableTargetIsOutAndThenOnProbation) {
   Trust_.unreachable(Now_);
   CHECK(Trust_.isOut(Now_ + 500ms));
-  Now_ += dispatch::TargetTrust::FirstOut;
+  Now_ += dispatch::TargetHealth::FirstOut;
   CHECK_FALSE(Trust_.isOut(Now_));
   CHECK(Trust_.isOnProbation(Now_));
   Trust_.answered(Now_);
   CHECK(Trust_.isOnProbation(Now_ + 1s));
-  CHECK_FALSE(Trust_.isOnProbation(Now_ + dispatch::TargetTrust::Probation));
+  CHECK_FALSE(Trust_.isOnProbation(Now_ + dispatch::TargetHealth::Probation));
 }
 
 // One answer in twenty is lost on the way. The target is well.
-TEST(TargetTrust, answersLostNowAndThenDoNotTakeATargetOut) {
+TEST(TargetHealth, answersLostNowAndThenDoNotTakeATargetOut) {
   for (int Each = 0; Each < 100; ++Each) {
     if (Each % 20 == 0)
       Trust_.failed(Now_);
@@ -110,8 +110,8 @@
   }
 }
 
-TEST(TargetTrust, failuresInARowTakeATargetOut) {
-  for (std::uint32_t Each = 0; Each < dispatch::TargetTrust::FailuresInRow;
+TEST(TargetHealth, failuresInARowTakeATargetOut) {
+  for (std::uint32_t Each = 0; Each < dispatch::TargetHealth::FailuresInRow;
        ++Each)
     Trust_.failed(Now_);
   CHECK(Trust_.isOut(Now_));
--- a/tests/exchange/OfferBookTest.cpp
+++ b/tests/exchange/OfferBookTest.cpp
@@ -6,7 +6,7 @@
 
 namespace base = lychee::base;
 namespace budget = lychee::budget;
-using lychee::exchange::OfferBook;
+using lychee::exchange::SpareOfferTable;
 using std::chrono::seconds;
 
 namespace {
@@ -25,8 +25,8 @@
 
 } // namespace
 
-TEST_GROUP(OfferBook) {
-  OfferBook Book_;
+TEST_GROUP(SpareOfferTable) {
+  SpareOfferTable Book_;
   base::Random Random_{7};
 
   std::vector<base::HostId> take(const budget::ShareRequest &Asked,
@@ -41,27 +41,28 @@
   }
 };
 
-TEST(OfferBook, withoutOffersNobodyIsAsked) {
+TEST(SpareOfferTable, withoutOffersNobodyIsAsked) {
   CHECK(take(askFor(5, 0)).empty());
 }
 
 // Requests wait for tokens. One peer has much rate and few tokens, another the
 // tokens that are wanted: the second one ends the wait.
-TEST(OfferBook, wantedTokensGoBeforeRate) {
+TEST(SpareOfferTable, wantedTokensGoBeforeRate) {
   hear(One, 1000, 1);
   hear(Two, 10, 50);
   CHECK(Two == take(askFor(500, 40)).front());
 }
 
-TEST(OfferBook, anOfferIsUsedOnce) {
+TEST(SpareOfferTable, anOfferIsUsedOnce) {
   hear(One, 1000, 10);
   CHECK(One == take(askFor(5, 0)).front());
   CHECK(take(askFor(5, 0)).empty());
 }
 
-TEST(OfferBook, anOldOrWithdrawnOfferIsNotUsed) {
+TEST(SpareOfferTable, anOldOrWithdrawnOfferIsNotUsed) {
   hear(One, 1000, 10);
-  CHECK(take(askFor(5, 0), Now + OfferBook::OfferLife + seconds(1)).empty());
+  CHECK(take(askFor(5, 0), Now + SpareOfferTable::OfferLife + seconds(1))
+            .empty());
   hear(Two, 1000, 10);
   Book_.update(Two, {}, Now);
   CHECK(take(askFor(5, 0)).empty());
@@ -70,12 +71,12 @@
 // A customer's callers move to another host. The one they left holds the rate
 // and has told of nothing to spare yet, as it was busy at its last report. The
 // requests that wait must not wait for its next one.
-TEST(OfferBook, whileRequestsWaitPeersAreDrawnToo) {
+TEST(SpareOfferTable, whileRequestsWaitPeersAreDrawnToo) {
   Book_.setPeers(std::array{One, Two});
   CHECK_FALSE(take(askFor(5, 5)).empty());
   CHECK(take(askFor(5, 0)).empty());
   hear(Two, 10, 50);
   const std::vector<base::HostId> Donors = take(askFor(5, 5));
   CHECK(Two == Donors.front());
-  CHECK(Donors.size() <= OfferBook::DonorsAtOnce);
+  CHECK(Donors.size() <= SpareOfferTable::DonorsAtOnce);
 }
--- a/tests/fleet/ZoneKeeperTest.cpp
+++ b/tests/fleet/ZoneKeeperTest.cpp
@@ -9,7 +9,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST_GROUP(ZoneKeeper) {
+TEST_GROUP(ZoneRecordPlanner) {
   const fleet::LeaseTiming Terms_;
   base::TimePoint Now_{seconds(1000)};
   std::uint64_t Version_ = 0;
@@ -48,7 +48,7 @@
   }
 };
 
-TEST(ZoneKeeper, firstHostOfAZoneMakesItsRecordAndAdmitsTheNext) {
+TEST(ZoneRecordPlanner, firstHostOfAZoneMakesItsRecordAndAdmitsTheNext) {
   fleet::ZoneRecordPlanner Relay = keeper("h1");
   STRCMP_EQUAL("join", std::string(write(Relay)).c_str());
   CHECK(Relay.isRelay());
@@ -59,7 +59,7 @@
   UNSIGNED_LONGLONGS_EQUAL(2, Relay.record().Members_[1].AdmissionGeneration_);
 }
 
-TEST(ZoneKeeper, renewalsCarryHeardSequencesAndKeepTheGeneration) {
+TEST(ZoneRecordPlanner, renewalsCarryHeardSequencesAndKeepTheGeneration) {
   fleet::ZoneRecordPlanner Relay = relayOfTwo();
   const std::uint64_t Generation = Relay.record().Generation_;
   Relay.hear(member("h2", 9), Now_);
@@ -72,7 +72,7 @@
 
 // A host dies without a word. Its lease may be in use up to its length by the
 // slowest clock: the relay keeps it until then, and removes it right after.
-TEST(ZoneKeeper, silentHostIsRemovedOnlyAfterItsLease) {
+TEST(ZoneRecordPlanner, silentHostIsRemovedOnlyAfterItsLease) {
   fleet::ZoneRecordPlanner Relay = relayOfTwo();
   const base::TimePoint Renewed = Now_;
   while (Now_ - Renewed < Terms_.lengthened(Terms_.Ttl_)) {
@@ -91,7 +91,7 @@
 // A host is killed right after its neighbour came. The neighbour may remove it
 // only if the record says that the dead one knew of it, so a member's word that
 // it knows is written at once, not with the next renewal.
-TEST(ZoneKeeper, wordThatAMemberKnowsANewcomerIsWrittenAtOnce) {
+TEST(ZoneRecordPlanner, wordThatAMemberKnowsANewcomerIsWrittenAtOnce) {
   fleet::ZoneRecordPlanner Relay = keeper("h1");
   write(Relay);
   fleet::Member Fresh = member("h2");
@@ -106,7 +106,7 @@
   STRCMP_EQUAL("none", std::string(write(Relay)).c_str());
 }
 
-TEST(ZoneKeeper, hostThatSaysGoodbyeIsRemovedAtOnce) {
+TEST(ZoneRecordPlanner, hostThatSaysGoodbyeIsRemovedAtOnce) {
   fleet::ZoneRecordPlanner Relay = relayOfTwo();
   Relay.leave(base::HostId("h2"));
   STRCMP_EQUAL("change", std::string(write(Relay)).c_str());
@@ -115,7 +115,7 @@
 
 // The relay dies. Nobody renews the zone's leases until the standby has seen no
 // renewal for a while and makes itself the relay, well within a lease's length.
-TEST(ZoneKeeper, standbyTakesOverFromASilentRelayBeforeLeasesEnd) {
+TEST(ZoneRecordPlanner, standbyTakesOverFromASilentRelayBeforeLeasesEnd) {
   const fleet::ZoneRecordPlanner Relay = relayOfTwo();
   fleet::ZoneRecordPlanner Standby = keeper("h2");
   Standby.observe(Relay.record(), Relay.version(), Now_);
@@ -130,7 +130,7 @@
 
 // A relay is paused and wakes up after another has taken over: its write names
 // the version it knew, so the store refuses it, and it sees who is relay now.
-TEST(ZoneKeeper, pausedRelayIsFencedByTheVersion) {
+TEST(ZoneRecordPlanner, pausedRelayIsFencedByTheVersion) {
   fleet::ZoneRecordPlanner Paused = relayOfTwo();
   fleet::ZoneRecordPlanner Standby = keeper("h2");
   Standby.observe(Paused.record(), Paused.version(), Now_);
@@ -146,7 +146,7 @@
 // A fresh host finds a record of hosts that do not answer it. They may be cut
 // off from it and from the store, and hold pledges from one another: it joins,
 // but removes them only on the platform's word.
-TEST(ZoneKeeper, strangersSilenceIsNoProofButThePlatformsWordIs) {
+TEST(ZoneRecordPlanner, strangersSilenceIsNoProofButThePlatformsWordIs) {
   fleet::ZoneRecordPlanner Old = keeper("h1");
   write(Old);
   fleet::ZoneRecordPlanner Fresh = keeper("h9");
--- a/tests/gateway/FakeSteering.cpp
+++ b/tests/gateway/FakeSteering.cpp
@@ -3,7 +3,7 @@
 namespace lychee::tests {
 
 using steering::Decision;
-using steering::SendEnd;
+using steering::SendOutcome;
 
 Decision FakeSteering::send(std::uint64_t Number) {
   Decision Made;
@@ -46,11 +46,11 @@
   const std::lock_guard Guard(Lock_);
   Ends_.push_back(Report.End_);
   const Ticket Described = Sent_[Number];
-  const bool NotRun = Report.End_ == SendEnd::Shed ||
-                      Report.End_ == SendEnd::ConnectFailed ||
-                      Report.End_ == SendEnd::ClosedBeforeWrite;
-  const bool Over =
-      Report.End_ == SendEnd::Answered || Report.End_ == SendEnd::Cancelled;
+  const bool NotRun = Report.End_ == SendOutcome::Shed ||
+                      Report.End_ == SendOutcome::ConnectFailed ||
+                      Report.End_ == SendOutcome::ClosedBeforeWrite;
+  const bool Over = Report.End_ == SendOutcome::Answered ||
+                    Report.End_ == SendOutcome::Cancelled;
   if (!Over && !Report.AnswerStarted_ && (NotRun || Described.Idempotent_) &&
       Described.Sends_ < MaximumSends_)
     return send(Number);
@@ -94,7 +94,7 @@
   }
 }
 
-std::vector<SendEnd> FakeSteering::ends() const {
+std::vector<SendOutcome> FakeSteering::ends() const {
   const std::lock_guard Guard(Lock_);
   return Ends_;
 }
--- a/tests/gateway/ForeignBytesTest.cpp
+++ b/tests/gateway/ForeignBytesTest.cpp
@@ -6,7 +6,7 @@
 #include "CppUTest/TestHarness.h"
 
 namespace tests = lychee::tests;
-using lychee::steering::SendEnd;
+using lychee::steering::SendOutcome;
 using tests::Fixture;
 using tests::RawAnswer;
 using tests::RawClient;
@@ -141,8 +141,8 @@
   });
   RawClient Caller(Fixture_->address());
   LONGS_EQUAL(502, Caller.request("GET", "/s/x", "X-Name: r1\r\n").Status_);
-  CHECK(Fixture_->Steering_->ends()[0] == SendEnd::ResponseTruncated ||
-        Fixture_->Steering_->ends()[0] == SendEnd::LostBeforeResponse);
+  CHECK(Fixture_->Steering_->ends()[0] == SendOutcome::ResponseTruncated ||
+        Fixture_->Steering_->ends()[0] == SendOutcome::LostBeforeResponse);
 }
 
 TEST(ForeignBytes, aTargetsOwnWordThatItDidNotRunIsKnownByItsHeader) {
@@ -153,5 +153,5 @@
   });
   RawClient Caller(Fixture_->address());
   Caller.request("POST", "/s/x", "X-Name: r1\r\n", "abc");
-  CHECK(Fixture_->Steering_->ends()[0] == SendEnd::Shed);
+  CHECK(Fixture_->Steering_->ends()[0] == SendOutcome::Shed);
 }
--- a/tests/gateway/HedgeTest.cpp
+++ b/tests/gateway/HedgeTest.cpp
@@ -7,7 +7,7 @@
 
 namespace tests = lychee::tests;
 using lychee::gateway::HedgePolicy;
-using lychee::steering::SendEnd;
+using lychee::steering::SendOutcome;
 using tests::Fixture;
 using tests::RawAnswer;
 using tests::RawClient;
@@ -58,7 +58,7 @@
   for (int Index = 0; Index < 3; ++Index)
     LONGS_EQUAL(200, Caller.request("GET", "/s/x").Status_);
   const auto Ends = Under.Steering_->ends();
-  LONGS_EQUAL(4, std::count(Ends.begin(), Ends.end(), SendEnd::Answered));
+  LONGS_EQUAL(4, std::count(Ends.begin(), Ends.end(), SendOutcome::Answered));
   LONGS_EQUAL(2, Under.target().connectionsMade());
 }
 
--- a/tests/gateway/StreamingTest.cpp
+++ b/tests/gateway/StreamingTest.cpp
@@ -5,7 +5,7 @@
 #include "CppUTest/TestHarness.h"
 
 namespace tests = lychee::tests;
-using lychee::steering::SendEnd;
+using lychee::steering::SendOutcome;
 using tests::Fixture;
 using tests::RawAnswer;
 using tests::RawClient;
@@ -105,7 +105,7 @@
       Caller.request("GET", "/s/down?answer_bytes=5000000");
   CHECK_FALSE(Answer.Whole_);
   CHECK(tests::waitFor([&] { return !Fixture_.Steering_->ends().empty(); }));
-  CHECK(Fixture_.Steering_->ends().front() == SendEnd::ResponseTruncated);
+  CHECK(Fixture_.Steering_->ends().front() == SendOutcome::ResponseTruncated);
   LONGS_EQUAL(1, Fixture_.runs());
 }
 
@@ -119,6 +119,6 @@
   CHECK(tests::waitFor([&] { return Fixture_.Steering_->openTickets() == 1; }));
   Caller.close();
   CHECK(tests::waitFor([&] { return Fixture_.Steering_->openTickets() == 0; }));
-  CHECK(Fixture_.Steering_->ends().front() == SendEnd::Cancelled);
+  CHECK(Fixture_.Steering_->ends().front() == SendOutcome::Cancelled);
   LONGS_EQUAL(0, Fixture_.runs());
 }
--- a/tests/gateway/TargetFaultTest.cpp
+++ b/tests/gateway/TargetFaultTest.cpp
@@ -3,7 +3,7 @@
 #include "CppUTest/TestHarness.h"
 
 namespace tests = lychee::tests;
-using lychee::steering::SendEnd;
+using lychee::steering::SendOutcome;
 using tests::Faults;
 using tests::Fixture;
 using tests::RawAnswer;
@@ -30,7 +30,7 @@
   const RawAnswer Answer = Caller.request("POST", "/s/x", "", "abc");
   LONGS_EQUAL(200, Answer.Status_);
   CHECK(holds(Answer.Body_, R"("target":"t2")"));
-  CHECK(Fixture_.Steering_->ends()[0] == SendEnd::Shed);
+  CHECK(Fixture_.Steering_->ends()[0] == SendOutcome::Shed);
   LONGS_EQUAL(1, Fixture_.runs());
 }
 
@@ -47,7 +47,7 @@
   Fixture_.Targets_[0].reset();
   RawClient Caller(Fixture_.address());
   LONGS_EQUAL(200, Caller.request("POST", "/s/x", "", "abc").Status_);
-  CHECK(Fixture_.Steering_->ends()[0] == SendEnd::ConnectFailed);
+  CHECK(Fixture_.Steering_->ends()[0] == SendOutcome::ConnectFailed);
 }
 
 // The target dies while it runs an endorsement. It may have run, so it is not
@@ -58,7 +58,7 @@
   const RawAnswer Answer = Caller.request("POST", "/s/x", "", "boom");
   LONGS_EQUAL(502, Answer.Status_);
   STRCMP_EQUAL("maybe", Answer.header("lychee-ran").c_str());
-  CHECK(Fixture_.Steering_->ends()[0] == SendEnd::LostBeforeResponse);
+  CHECK(Fixture_.Steering_->ends()[0] == SendOutcome::LostBeforeResponse);
   LONGS_EQUAL(1, Fixture_.runs());
 }
 
@@ -71,7 +71,7 @@
   const RawAnswer Answer = Caller.request("GET", "/s/x");
   LONGS_EQUAL(200, Answer.Status_);
   CHECK(holds(Answer.Body_, R"("target":"t2")"));
-  CHECK(Fixture_.Steering_->ends()[0] == SendEnd::ResponseTruncated);
+  CHECK(Fixture_.Steering_->ends()[0] == SendOutcome::ResponseTruncated);
 }
 
 // Each answer comes twice. The second copy would be taken for the answer to
@@ -101,7 +101,7 @@
   RawClient Second(Fixture_.address());
   for (int Index = 0; Index < 4; ++Index)
     CHECK(holds(Second.request("GET", "/s/second").Body_, "/s/second"));
-  CHECK(Fixture_.Steering_->ends()[0] == SendEnd::Cancelled);
+  CHECK(Fixture_.Steering_->ends()[0] == SendOutcome::Cancelled);
 }
 
 // Ten connections to the target lie idle in the pool when something between
@@ -152,7 +152,7 @@
       Caller.request("POST", "/s/x", "Lychee-Deadline-Ms: 60\r\n", "abc");
   LONGS_EQUAL(504, Answer.Status_);
   STRCMP_EQUAL("maybe", Answer.header("lychee-ran").c_str());
-  CHECK(Fixture_.Steering_->ends()[0] == SendEnd::Cancelled);
+  CHECK(Fixture_.Steering_->ends()[0] == SendOutcome::Cancelled);
   LONGS_EQUAL(0, Fixture_.Steering_->openTickets());
 }
 
--- a/tests/live/IntentBookTest.cpp
+++ b/tests/live/IntentBookTest.cpp
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_GROUP(IntentBook) {
+TEST_GROUP(ActiveIntent) {
   live::ActiveIntent Book_{4700ms};
   base::TimePoint Now_ = base::TimePoint(100s);
 
@@ -47,7 +47,7 @@
   }
 };
 
-TEST(IntentBook, theLongestPrefixTakesTheRequest) {
+TEST(ActiveIntent, theLongestPrefixTakesTheRequest) {
   offer(intentOf(1));
   STRCMP_EQUAL("long", routeOf("/x/y/z").c_str());
   STRCMP_EQUAL("short", routeOf("/x/z").c_str());
@@ -56,7 +56,7 @@
 
 // A stale read brings an older version after a newer one. In force, it would
 // send requests to a service that operators have moved them away from.
-TEST(IntentBook, versionsOnlyRise) {
+TEST(ActiveIntent, versionsOnlyRise) {
   CHECK(offer(intentOf(7)));
   CHECK_FALSE(offer(intentOf(5)));
   CHECK_FALSE(offer(intentOf(7)));
@@ -65,7 +65,7 @@
 
 // The host is cut off from the store. Nobody can tell it that a key was
 // withdrawn, so after the bound it refuses, as not run, instead of guessing.
-TEST(IntentBook, keysAreRefusedOnceTheirConfirmationIsOld) {
+TEST(ActiveIntent, keysAreRefusedOnceTheirConfirmationIsOld) {
   offer(intentOf(1));
   Book_.confirm(Now_);
   CHECK(Book_.check("first-key", Now_ + 4600ms).Refusal_ == Refusal::None);
@@ -74,7 +74,7 @@
 
 // A request passes the check and waits; the process is paused for seconds.
 // Asked again right before the send, the key does not hold any more.
-TEST(IntentBook, aKeyIsCheckedAgainAfterAPause) {
+TEST(ActiveIntent, aKeyIsCheckedAgainAfterAPause) {
   offer(intentOf(1));
   Book_.confirm(Now_);
   const auto Found = Book_.check("first-key", Now_);
@@ -83,7 +83,7 @@
 }
 
 // A key is withdrawn while a request that showed it waits.
-TEST(IntentBook, aWithdrawnKeyDoesNotHoldAnyMore) {
+TEST(ActiveIntent, aWithdrawnKeyDoesNotHoldAnyMore) {
   offer(intentOf(1));
   Book_.confirm(Now_);
   const auto Found = Book_.check("first-key", Now_);
@@ -94,7 +94,7 @@
   CHECK(Book_.check("first-key", Now_).Refusal_ == Refusal::UnknownKey);
 }
 
-TEST(IntentBook, theKeyItselfIsNotPassedOn) {
+TEST(ActiveIntent, theKeyItselfIsNotPassedOn) {
   offer(intentOf(1));
   Book_.confirm(Now_);
   const auto Found = Book_.check("first-key", Now_);
@@ -102,14 +102,14 @@
   CHECK(Found.Key_.name().find("first-key") == std::string::npos);
 }
 
-TEST(IntentBook, confirmationsThatComeLateDoNotTakeBackNewerOnes) {
+TEST(ActiveIntent, confirmationsThatComeLateDoNotTakeBackNewerOnes) {
   offer(intentOf(1));
   Book_.confirm(Now_ + 2s);
   Book_.confirm(Now_);
   CHECK(Book_.isTrusted(Now_ + 6s));
 }
 
-TEST(IntentBook, aSplitIsExact) {
+TEST(ActiveIntent, aSplitIsExact) {
   live::Intent Divided = intentOf(1);
   Divided.Routes_[0].Services_ = {{base::ServiceId("old"), 90},
                                   {base::ServiceId("new"), 10}};
--- a/tests/live/TargetBookTest.cpp
+++ b/tests/live/TargetBookTest.cpp
@@ -3,12 +3,12 @@
 #include "CppUTest/TestHarness.h"
 
 namespace base = lychee::base;
-using lychee::live::TargetBook;
 using lychee::live::TargetRecord;
+using lychee::live::TargetRegistry;
 using namespace std::chrono_literals;
 
-TEST_GROUP(TargetBook) {
-  TargetBook Book_{2500ms};
+TEST_GROUP(TargetRegistry) {
+  TargetRegistry Book_{2500ms};
   base::TimePoint Now_ = base::TimePoint(100s);
 
   static TargetRecord recordOf(const char *Name, std::int64_t Started = 1) {
@@ -21,7 +21,7 @@
   }
 };
 
-TEST(TargetBook, aTargetThatLeavesIsGoneAtOnce) {
+TEST(TargetRegistry, aTargetThatLeavesIsGoneAtOnce) {
   Book_.put(recordOf("t1"), Now_);
   Book_.remove(base::TargetId("t1"), Now_ + 1s);
   LONGS_EQUAL(0, Book_.targets().size());
@@ -30,7 +30,7 @@
 // A target's entry changes and is removed within one pause between two watches,
 // so that both come together. Taken out of order, the change brings the target
 // back for good, and it gets requests after it has ended.
-TEST(TargetBook, aChangeAndItsEndInOneBatchEndTheTarget) {
+TEST(TargetRegistry, aChangeAndItsEndInOneBatchEndTheTarget) {
   Book_.put(recordOf("t1", 1), Now_);
   lychee::live::TargetRecord Warm = recordOf("t1", 1);
   Warm.ColdLeft_ = 5ms;
@@ -43,7 +43,7 @@
 // The store was away, the targets' entries expired meanwhile, and the first
 // list after its return is empty. All targets are well and write again within
 // two seconds; dropped, every caller would be refused until then.
-TEST(TargetBook, anEmptyListAfterAnOutageKeepsTheTargets) {
+TEST(TargetRegistry, anEmptyListAfterAnOutageKeepsTheTargets) {
   Book_.put(recordOf("t1"), Now_);
   Book_.noteTrouble(Now_ + 3s);
   Book_.remove(base::TargetId("t1"), Now_ + 4s);
@@ -55,7 +55,7 @@
 
 // As above, but the target did end during the outage. It must get nothing more
 // within 2.5 s of the list that it is missing from.
-TEST(TargetBook, aTargetStillMissingAfterTheGraceIsGone) {
+TEST(TargetRegistry, aTargetStillMissingAfterTheGraceIsGone) {
   Book_.put(recordOf("t1"), Now_);
   Book_.noteTrouble(Now_ + 3s);
   Book_.remove(base::TargetId("t1"), Now_ + 4s);
@@ -68,9 +68,9 @@
 // A target leaves without a word, 4 s after trouble with the store. Kept for as
 // long as live targets may take to write again, and heard of half a second
 // late, it got a request 2,535 ms after it had left, over the bound of 2,500.
-TEST(TargetBook, theGraceLeavesTimeToHearOfALeavingTarget) {
+TEST(TargetRegistry, theGraceLeavesTimeToHearOfALeavingTarget) {
   const auto KeptFor = [&](lychee::base::Duration Bound) {
-    TargetBook Book(Bound);
+    TargetRegistry Book(Bound);
     Book.put(recordOf("t1"), Now_);
     Book.noteTrouble(Now_);
     Book.remove(base::TargetId("t1"), Now_ + 4s);
@@ -80,12 +80,12 @@
     return Kept;
   };
   for (const auto Bound : {1000ms, 2500ms, 3000ms})
-    CHECK(KeptFor(Bound) + TargetBook::HearingTime <=
+    CHECK(KeptFor(Bound) + TargetRegistry::HearingTime <=
           std::max<lychee::base::Duration>(Bound, 1200ms) + 20ms);
-  CHECK(KeptFor(10s) <= TargetBook::LongestGrace + 20ms);
+  CHECK(KeptFor(10s) <= TargetRegistry::LongestGrace + 20ms);
 }
 
-TEST(TargetBook, aLeavingTargetGetsNoGrace) {
+TEST(TargetRegistry, aLeavingTargetGetsNoGrace) {
   TargetRecord Leaving = recordOf("t1");
   Leaving.Leaving_ = true;
   Book_.put(Leaving, Now_);
@@ -94,7 +94,7 @@
   LONGS_EQUAL(0, Book_.targets().size());
 }
 
-TEST(TargetBook, aRecordThatSaysTheSameIsNoChange) {
+TEST(TargetRegistry, aRecordThatSaysTheSameIsNoChange) {
   Book_.put(recordOf("t1"), Now_);
   CHECK(Book_.takeChanged());
   Book_.put(recordOf("t1"), Now_ + 1s);
@@ -103,7 +103,7 @@
   CHECK(Book_.takeChanged());
 }
 
-TEST(TargetBook, coldTimeCountsFromTheWord) {
+TEST(TargetRegistry, coldTimeCountsFromTheWord) {
   TargetRecord Cold = recordOf("t1");
   Cold.ColdLeft_ = 3s;
   Book_.put(Cold, Now_);
--- a/tests/members/DemandTellerTest.cpp
+++ b/tests/members/DemandTellerTest.cpp
@@ -4,22 +4,22 @@
 
 namespace base = lychee::base;
 using lychee::members::CustomerDemand;
-using lychee::members::DemandTeller;
+using lychee::members::DemandDeltaEncoder;
 
-TEST_GROUP(DemandTeller) {
-  DemandTeller Teller_{0};
+TEST_GROUP(DemandDeltaEncoder) {
+  DemandDeltaEncoder Teller_{0};
 
   static CustomerDemand of(const char *Name, double PerSecond) {
     return {base::CustomerId(Name), PerSecond};
   }
 };
 
-TEST(DemandTeller, aWholeTellsAll) {
+TEST(DemandDeltaEncoder, aWholeTellsAll) {
   const std::vector<CustomerDemand> All = {of("a", 1), of("b", 0.1)};
   LONGS_EQUAL(2, Teller_.encode(All, true).Demands_.size());
 }
 
-TEST(DemandTeller, betweenOnlyWhatChangedIsTold) {
+TEST(DemandDeltaEncoder, betweenOnlyWhatChangedIsTold) {
   const std::vector<CustomerDemand> Before = {of("a", 10), of("b", 1)};
   Teller_.encode(Before, true);
   const std::vector<CustomerDemand> Chance = {of("a", 10.9), of("b", 1.5)};
@@ -32,7 +32,7 @@
 
 // A heartbeat with a change is lost. The next one tells the change, too, since
 // changes count from the last whole and not from the last heartbeat.
-TEST(DemandTeller, aLostHeartbeatIsMadeUpForByTheNext) {
+TEST(DemandDeltaEncoder, aLostHeartbeatIsMadeUpForByTheNext) {
   const std::vector<CustomerDemand> Before = {of("a", 10)};
   Teller_.encode(Before, true);
   const std::vector<CustomerDemand> Moved = {of("a", 4)};
@@ -40,7 +40,7 @@
   LONGS_EQUAL(1, Teller_.encode(Moved, false).Demands_.size());
 }
 
-TEST(DemandTeller, aCustomerThatStoppedIsToldAsNothing) {
+TEST(DemandDeltaEncoder, aCustomerThatStoppedIsToldAsNothing) {
   const std::vector<CustomerDemand> Before = {of("a", 10), of("b", 1)};
   Teller_.encode(Before, true);
   const auto Told =
@@ -49,8 +49,8 @@
   DOUBLES_EQUAL(0, Told.front().RequestsPerSecond_, 0);
 }
 
-TEST(DemandTeller, fewCustomersAreAlwaysToldWhole) {
-  DemandTeller Teller;
+TEST(DemandDeltaEncoder, fewCustomersAreAlwaysToldWhole) {
+  DemandDeltaEncoder Teller;
   const std::vector<CustomerDemand> All = {of("a", 10), of("b", 1)};
   Teller.encode(All, true);
   const auto Told = Teller.encode(All, false);
--- a/tests/members/HostBookTest.cpp
+++ b/tests/members/HostBookTest.cpp
@@ -8,7 +8,7 @@
 
 namespace base = lychee::base;
 namespace members = lychee::members;
-using members::HostBook;
+using members::HostTable;
 using namespace std::chrono_literals;
 
 namespace {
@@ -27,8 +27,8 @@
 
 } // namespace
 
-TEST_GROUP(HostBook) {
-  HostBook Book_{cardOf("self", "north")};
+TEST_GROUP(HostTable) {
+  HostTable Book_{cardOf("self", "north")};
   base::TimePoint Now_ = base::TimePoint(100s);
   std::uint64_t Sequence_ = 0;
 
@@ -55,30 +55,30 @@
 
 // A host dies. Callers that are still sent to it wait in vain for a connection
 // each, so look-ups leave it out after four heartbeats that did not come.
-TEST(HostBook, aSilentHostIsLeftOutOfLookups) {
+TEST(HostTable, aSilentHostIsLeftOutOfLookups) {
   hear("h1");
   STRCMP_EQUAL("self:80 h1:80 ", entries().c_str());
-  Now_ += HostBook::AliveFor;
+  Now_ += HostTable::AliveFor;
   STRCMP_EQUAL("self:80 ", entries().c_str());
 }
 
 // The same host may only be cut off and go on spending its part of a rate for
 // some seconds. Its part stays its own until it can no longer spend it.
-TEST(HostBook, aSilentHostHoldsItsShareLonger) {
+TEST(HostTable, aSilentHostHoldsItsShareLonger) {
   hear("h1");
-  Now_ += HostBook::AliveFor;
+  Now_ += HostTable::AliveFor;
   LONGS_EQUAL(2, Book_.shareHolders(Now_));
-  Now_ += HostBook::ReservedFor;
+  Now_ += HostTable::ReservedFor;
   LONGS_EQUAL(1, Book_.shareHolders(Now_));
 }
 
-TEST(HostBook, aLeavingHostIsLeftOutAtOnce) {
+TEST(HostTable, aLeavingHostIsLeftOutAtOnce) {
   hear("h1");
   CHECK(hear("h1", true, true));
   STRCMP_EQUAL("self:80 ", entries().c_str());
 }
 
-TEST(HostBook, anOlderHeartbeatThatComesLateChangesNothing) {
+TEST(HostTable, anOlderHeartbeatThatComesLateChangesNothing) {
   hear("h1", true, true);
   Sequence_ = 0;
   CHECK_FALSE(hear("h1"));
@@ -87,15 +87,15 @@
 
 // All others fall silent at the same moment: they are not dead, this host is
 // cut off. Taking their parts over would spend each twice.
-TEST(HostBook, allSilentTogetherMeansCutOff) {
+TEST(HostTable, allSilentTogetherMeansCutOff) {
   for (const char *Name : {"h1", "h2", "h3", "h4"})
     hear(Name);
   CHECK_FALSE(Book_.isCutOff(Now_));
-  Now_ += HostBook::AliveFor;
+  Now_ += HostTable::AliveFor;
   CHECK(Book_.isCutOff(Now_));
 }
 
-TEST(HostBook, oneSilentHostOfFourIsNoCut) {
+TEST(HostTable, oneSilentHostOfFourIsNoCut) {
   for (const char *Name : {"h1", "h2", "h3", "h4"})
     hear(Name);
   Now_ += 1500ms;
@@ -105,8 +105,8 @@
   CHECK_FALSE(Book_.isCutOff(Now_));
 }
 
-TEST(HostBook, oneHostIsPickedForEachMatter) {
-  HostBook Other(cardOf("h1", "north"));
+TEST(HostTable, oneHostIsPickedForEachMatter) {
+  HostTable Other(cardOf("h1", "north"));
   hear("h1");
   members::Heartbeat Said;
   Said.Sender_ = Book_.self();
@@ -119,7 +119,7 @@
 
 // Between whole heartbeats only what changed is told. What was told before
 // stands, but for a host that started anew since.
-TEST(HostBook, aChangeIsTakenIntoWhatWasTold) {
+TEST(HostTable, aChangeIsTakenIntoWhatWasTold) {
   members::Heartbeat Said;
   Said.Sender_ = cardOf("h1", "north");
   Said.Sequence_ = 1;
@@ -142,7 +142,7 @@
   LONGS_EQUAL(1, Book_.others(Now_)[0].Demands_.size());
 }
 
-TEST(HostBook, hostsThatOthersHearGetHeartbeats) {
+TEST(HostTable, hostsThatOthersHearGetHeartbeats) {
   members::Heartbeat Said;
   Said.Sender_ = cardOf("h1", "north");
   Said.Sequence_ = 1;
@@ -154,7 +154,7 @@
   STRCMP_EQUAL("h2-ip", To[1].c_str());
 }
 
-TEST(HostBook, otherRegionsAreNamedWhereTheCallersOwnHasNone) {
+TEST(HostTable, otherRegionsAreNamedWhereTheCallersOwnHasNone) {
   members::RegionUpdate Said;
   Said.Region_ = base::RegionId("south");
   Said.Summary_.Hosts_ = {{cardOf("far", "south"), true, false, false}};
@@ -165,7 +165,7 @@
 
 // The host lost the store and all other hosts. Callers that it names itself to
 // would be refused; the others it heard last were well.
-TEST(HostBook, aHostThatIsCutOffNamesTheOthers) {
+TEST(HostTable, aHostThatIsCutOffNamesTheOthers) {
   hear("h1");
   Now_ += 5s;
   STRCMP_EQUAL("h1:80 ", entries({false, false, true}).c_str());
--- a/tests/members/RegionNewsTest.cpp
+++ b/tests/members/RegionNewsTest.cpp
@@ -12,8 +12,8 @@
 namespace base = lychee::base;
 namespace members = lychee::members;
 using members::RegionBook;
-using members::RegionNews;
 using members::RegionTeller;
+using members::RegionUpdate;
 using namespace std::chrono_literals;
 
 namespace {
@@ -30,8 +30,8 @@
   return Made;
 }
 
-RegionNews newsOf(const char *Speaker, std::uint64_t Sequence) {
-  RegionNews Made;
+RegionUpdate newsOf(const char *Speaker, std::uint64_t Sequence) {
+  RegionUpdate Made;
   Made.Region_ = base::RegionId("north");
   Made.Speaker_ = base::HostId(Speaker);
   Made.Sequence_ = Sequence;
@@ -40,7 +40,7 @@
 
 } // namespace
 
-TEST_GROUP(RegionNews) {
+TEST_GROUP(RegionUpdate) {
   base::TimePoint Now_ = base::TimePoint(100s);
   RegionBook Book_;
 
@@ -53,8 +53,8 @@
   }
 };
 
-TEST(RegionNews, newsComeBackAsTheyWere) {
-  RegionNews Said = newsOf("s1", 9);
+TEST(RegionUpdate, newsComeBackAsTheyWere) {
+  RegionUpdate Said = newsOf("s1", 9);
   Said.Start_ = 4;
   Said.Summary_.Hosts_ = {lineOf("h1"), lineOf("h2")};
   Said.Summary_.Hosts_[1].Leaving_ = true;
@@ -66,7 +66,7 @@
   const auto Read =
       members::decodeRegionNews(members::encodeRegionNews(Said), Last);
   CHECK(Read.has_value());
-  const RegionNews Back = Read.value_or(RegionNews());
+  const RegionUpdate Back = Read.value_or(RegionUpdate());
   CHECK(Back.Region_ == Said.Region_);
   CHECK(Back.Speaker_ == Said.Speaker_);
   LONGS_EQUAL(4, Back.Start_);
@@ -77,7 +77,7 @@
   CHECK(Back.Summary_.Evidence_ == Said.Summary_.Evidence_);
 }
 
-TEST(RegionNews, whatIsNoNewsIsRefusedWithAReason) {
+TEST(RegionUpdate, whatIsNoNewsIsRefusedWithAReason) {
   for (const char *Text :
        {"", "[]", "{}", R"({"region":"a","speaker":"b","start":1})",
         R"({"region":"a","speaker":"b","start":1,"n":1,"hosts":[[1]]})",
@@ -90,7 +90,7 @@
   }
 }
 
-TEST(RegionNews, changesAreToldMoreThanOnceAndTheRestInTurn) {
+TEST(RegionUpdate, changesAreToldMoreThanOnceAndTheRestInTurn) {
   RegionTeller Teller;
   members::RegionSummary Known;
   for (int Number = 0; Number < 30; ++Number) {
@@ -120,11 +120,11 @@
 
 // A customer stops asking. Its demand must not go on counting elsewhere, where
 // it would keep a part of the rate away from those who serve it now.
-TEST(RegionNews, aCustomerThatAsksNoMoreIsToldAsSuch) {
+TEST(RegionUpdate, aCustomerThatAsksNoMoreIsToldAsSuch) {
   RegionTeller Teller;
   members::RegionSummary Known;
   Known.Demands_ = {{base::CustomerId("a"), 20}};
-  RegionNews Said = newsOf("s1", 1);
+  RegionUpdate Said = newsOf("s1", 1);
   Said.Summary_ = Teller.tell(Known);
   Book_.heard(Said, Now_);
   DOUBLES_EQUAL(20, told("a"), 0.01);
@@ -138,12 +138,12 @@
 // A region's news come from two speakers, by two ways each. The first of them
 // is followed; a copy that comes late or by the other way changes nothing, and
 // the other speaker is followed only while the first is silent.
-TEST(RegionNews, theFirstSpeakerIsFollowedUntilItFallsSilent) {
+TEST(RegionUpdate, theFirstSpeakerIsFollowedUntilItFallsSilent) {
   const bool Ordered = members::speakerRank(base::HostId("s1")) >
                        members::speakerRank(base::HostId("s2"));
-  RegionNews First = newsOf(Ordered ? "s1" : "s2", 5);
+  RegionUpdate First = newsOf(Ordered ? "s1" : "s2", 5);
   First.Summary_.Demands_ = {{base::CustomerId("a"), 1}};
-  RegionNews Other = newsOf(Ordered ? "s2" : "s1", 50);
+  RegionUpdate Other = newsOf(Ordered ? "s2" : "s1", 50);
   Other.Summary_.Demands_ = {{base::CustomerId("a"), 2}};
   CHECK(Book_.heard(Other, Now_));
   CHECK(Book_.heard(First, Now_));
@@ -157,8 +157,8 @@
 
 // A whole region falls silent: it is cut off, or down. Look-ups name its hosts
 // no more, and its part of the rates stays its own while it may spend it.
-TEST(RegionNews, aSilentRegionKeepsItsShareLonger) {
-  RegionNews Said = newsOf("s1", 1);
+TEST(RegionUpdate, aSilentRegionKeepsItsShareLonger) {
+  RegionUpdate Said = newsOf("s1", 1);
   Said.Summary_.Hosts_ = {lineOf("h1")};
   Book_.heard(Said, Now_);
   Now_ += RegionBook::AliveFor;
@@ -169,8 +169,8 @@
   CHECK_FALSE(Book_.regions(7s, Now_).at(0).HoldsShare_);
 }
 
-TEST(RegionNews, aHostThatIsToldToBeGoneIsNotAlive) {
-  RegionNews Said = newsOf("s1", 1);
+TEST(RegionUpdate, aHostThatIsToldToBeGoneIsNotAlive) {
+  RegionUpdate Said = newsOf("s1", 1);
   Said.Summary_.Hosts_ = {lineOf("h1")};
   Book_.heard(Said, Now_);
   CHECK(Book_.hosts(7s, Now_).at(0).Alive_);
--- a/tests/members/RegionPlayTest.cpp
+++ b/tests/members/RegionPlayTest.cpp
@@ -13,7 +13,7 @@
 
 namespace base = lychee::base;
 namespace members = lychee::members;
-using members::HostBook;
+using members::HostTable;
 using namespace std::chrono_literals;
 
 namespace {
@@ -61,7 +61,7 @@
     members::HostDescriptor Card = cardOf(Number);
     Card.Incarnation_ = ++Starts_;
     Hosts_[Number] = {};
-    Hosts_[Number].Book_ = std::make_unique<HostBook>(Card);
+    Hosts_[Number].Book_ = std::make_unique<HostTable>(Card);
     Hosts_[Number].Begun_ = Now_;
     Hosts_[Number].Book_->setListed(Listed_);
     setDown(Number, false);
@@ -127,7 +127,7 @@
 
 private:
   struct Host {
-    std::unique_ptr<HostBook> Book_;
+    std::unique_ptr<HostTable> Book_;
     members::RegionTeller Teller_;
     std::uint64_t Sequence_ = 0;
     base::TimePoint Begun_;
@@ -200,7 +200,7 @@
   void deliver(const Datagram &Each) {
     if (Down_.contains(Each.To_))
       return;
-    HostBook &Book = *Hosts_[Each.To_].Book_;
+    HostTable &Book = *Hosts_[Each.To_].Book_;
     if (Each.Heartbeat_) {
       Book.receive(*Each.Heartbeat_, Now_);
       return;
@@ -280,7 +280,7 @@
     while (Hosts.isSpeaker(Dead))
       Dead += 3;
     Hosts.setDown(Dead, true);
-    Hosts.play(HostBook::AliveFor + 2 * Fleet::Pace + 100ms);
+    Hosts.play(HostTable::AliveFor + 2 * Fleet::Pace + 100ms);
     for (std::size_t Each = 0; Each < 30; ++Each)
       CHECK(Each == Dead || !Hosts.takesForAlive(Each, Dead));
   }
--- a/tests/relaying/CopyAllowanceTest.cpp
+++ b/tests/relaying/CopyAllowanceTest.cpp
@@ -4,7 +4,7 @@
 #include "CppUTest/TestHarness.h"
 
 namespace base = lychee::base;
-using lychee::relaying::CopyAllowance;
+using lychee::relaying::RelayCopyLimiter;
 using lychee::relaying::RelayRole;
 using namespace std::chrono_literals;
 
@@ -16,22 +16,22 @@
 
 } // namespace
 
-TEST_GROUP(CopyAllowance) {
-  CopyAllowance Allowance_;
+TEST_GROUP(RelayCopyLimiter) {
+  RelayCopyLimiter Allowance_;
   base::TimePoint Now_ = base::TimePoint(100s);
 };
 
-TEST(CopyAllowance, smallChangesGoToEverybody) {
+TEST(RelayCopyLimiter, smallChangesGoToEverybody) {
   for (std::size_t Host = 0; Host < MostWhoAsk; ++Host)
-    CHECK(Allowance_.tryAcquire(CopyAllowance::SmallBytes, false, Now_));
+    CHECK(Allowance_.tryAcquire(RelayCopyLimiter::SmallBytes, false, Now_));
 }
 
-TEST(CopyAllowance, aLargeChangeIsLeftToTheStore) {
+TEST(RelayCopyLimiter, aLargeChangeIsLeftToTheStore) {
   for (std::size_t Host = 0; Host < MostWhoAsk; ++Host)
     CHECK_FALSE(Allowance_.tryAcquire(LargeBytes, false, Now_));
 }
 
-TEST(CopyAllowance, hostsThatTheStoreRefusesDoNotTakeAllOfASmallLink) {
+TEST(RelayCopyLimiter, hostsThatTheStoreRefusesDoNotTakeAllOfASmallLink) {
   constexpr double LinkBytesPerSecond = 10e6 / 8;
   std::size_t Told = 0;
   const base::TimePoint End = Now_ + 10s;
@@ -44,7 +44,7 @@
   CHECK(static_cast<double>(Told) < LinkBytesPerSecond * 10 / 3);
 }
 
-TEST(CopyAllowance, aHostThatTheStoreRefusesIsToldHoweverLargeTheChange) {
+TEST(RelayCopyLimiter, aHostThatTheStoreRefusesIsToldHoweverLargeTheChange) {
   CHECK(Allowance_.tryAcquire(std::size_t{4} << 20, true, Now_));
   CHECK_FALSE(Allowance_.tryAcquire(LargeBytes, true, Now_ + 1s));
   CHECK(Allowance_.tryAcquire(LargeBytes, true, Now_ + 20s));
--- a/tests/retrying/ClaimTableTest.cpp
+++ b/tests/retrying/ClaimTableTest.cpp
@@ -12,11 +12,11 @@
 using lychee::base::HostId;
 using lychee::base::Random;
 using lychee::base::WallPoint;
-using lychee::retrying::ClaimAnswer;
 using lychee::retrying::ClaimKey;
 using lychee::retrying::ClaimObject;
+using lychee::retrying::ClaimOutcome;
+using lychee::retrying::ClaimResult;
 using lychee::retrying::ClaimTable;
-using lychee::retrying::ClaimVerdict;
 using lychee::retrying::ownerOf;
 using lychee::retrying::Ran;
 using namespace std::chrono_literals;
@@ -44,11 +44,11 @@
   FakeObject Store_;
   ClaimTable Table_{1};
   WallPoint Now_ = WallPoint(1000s);
-  std::vector<ClaimVerdict> Told_;
+  std::vector<ClaimResult> Told_;
 
   void setup() override { CHECK(Table_.load(Store_.Value_, 1)); }
 
-  ClaimVerdict claim(std::uint64_t Number, std::uint64_t Fingerprint = 5) {
+  ClaimResult claim(std::uint64_t Number, std::uint64_t Fingerprint = 5) {
     return Table_.claim(keyOf(Number), Fingerprint, Now_);
   }
 
@@ -65,24 +65,24 @@
     claim(Number);
     write();
     CHECK_FALSE(Told_.empty());
-    CHECK(ClaimAnswer::Granted == Told_.back().Outcome_);
+    CHECK(ClaimOutcome::Granted == Told_.back().Outcome_);
     return Told_.back().Grant_;
   }
 
-  void expectTold(std::initializer_list<ClaimAnswer> Answers) const {
+  void expectTold(std::initializer_list<ClaimOutcome> Answers) const {
     LONGS_EQUAL(Answers.size(), Told_.size());
-    for (const ClaimAnswer Answer : Answers)
+    for (const ClaimOutcome Answer : Answers)
       CHECK(std::any_of(Told_.begin(), Told_.end(), [Answer](const auto &One) {
-        return One.Answer_ == Answer;
+        return One.Outcome_ == Answer;
       }));
   }
 };
 
 TEST(ClaimTable, nothingRunsBeforeItsClaimStandsInTheStore) {
-  CHECK(ClaimAnswer::Pending == claim(1).Outcome_);
+  CHECK(ClaimOutcome::Pending == claim(1).Outcome_);
   LONGS_EQUAL(0, Told_.size());
   write();
-  expectTold({ClaimAnswer::Granted});
+  expectTold({ClaimOutcome::Granted});
   LONGS_EQUAL(1, Store_.Value_.Records_.size());
 }
 
@@ -101,11 +101,11 @@
 
 TEST(ClaimTable, aSecondSendIsToldWhatBecameOfTheFirst) {
   const std::uint64_t Grant = granted(1);
-  CHECK(ClaimAnswer::MayHaveRun == claim(1).Outcome_);
-  CHECK(ClaimAnswer::KeyReused == claim(1, 6).Outcome_);
+  CHECK(ClaimOutcome::MayHaveRun == claim(1).Outcome_);
+  CHECK(ClaimOutcome::KeyReused == claim(1, 6).Outcome_);
   Table_.finish(keyOf(1), Grant, Ran::Yes, 201, Now_);
-  const ClaimVerdict Again = claim(1);
-  CHECK(ClaimAnswer::AlreadyRun == Again.Outcome_);
+  const ClaimResult Again = claim(1);
+  CHECK(ClaimOutcome::AlreadyRun == Again.Outcome_);
   LONGS_EQUAL(201, Again.Status_);
 }
 
@@ -118,7 +118,7 @@
   const std::uint64_t Second = granted(1);
   CHECK(First != Second);
   Table_.finish(keyOf(1), First, Ran::No, 0, Now_);
-  CHECK(ClaimAnswer::MayHaveRun == claim(1).Outcome_);
+  CHECK(ClaimOutcome::MayHaveRun == claim(1).Outcome_);
 }
 
 // The owner is paused, its lease lapses, and another host takes the partition.
@@ -134,9 +134,9 @@
   CHECK_FALSE(Store_.put(Late));
   Table_.inDoubt();
   Table_.readBack(Store_.Value_, Told_);
-  expectTold({ClaimAnswer::NotOwner});
+  expectTold({ClaimOutcome::NotOwner});
   CHECK_FALSE(Table_.isLoaded());
-  CHECK(ClaimAnswer::NotOwner == claim(2).Outcome_);
+  CHECK(ClaimOutcome::NotOwner == claim(2).Outcome_);
 }
 
 TEST(ClaimTable, anOwnerOfAnEarlierEpochMayNotLoad) {
@@ -151,7 +151,8 @@
   granted(1);
   ClaimTable Successor(2);
   CHECK(Successor.load(Store_.Value_, 2));
-  CHECK(ClaimAnswer::MayHaveRun == Successor.claim(keyOf(1), 5, Now_).Outcome_);
+  CHECK(ClaimOutcome::MayHaveRun ==
+        Successor.claim(keyOf(1), 5, Now_).Outcome_);
 }
 
 TEST(ClaimTable, aLostAnswerIsResolvedByReadingBack) {
@@ -161,9 +162,9 @@
   claim(2);
   CHECK_FALSE(Table_.planWrite(Now_).has_value());
   Table_.readBack(Store_.Value_, Told_);
-  expectTold({ClaimAnswer::Granted});
+  expectTold({ClaimOutcome::Granted});
   write();
-  expectTold({ClaimAnswer::Granted, ClaimAnswer::Granted});
+  expectTold({ClaimOutcome::Granted, ClaimOutcome::Granted});
 }
 
 // The answer to a write is lost before it took effect, and a read shows the old
@@ -181,9 +182,9 @@
   CHECK_FALSE(Store_.put(Next));
   Table_.inDoubt();
   Table_.readBack(Store_.Value_, Told_);
-  expectTold({ClaimAnswer::Granted});
+  expectTold({ClaimOutcome::Granted});
   write();
-  expectTold({ClaimAnswer::Granted, ClaimAnswer::Granted});
+  expectTold({ClaimOutcome::Granted, ClaimOutcome::Granted});
 }
 
 TEST(ClaimTable, aStoreThatIsDownRefusesAtOnceAndNotRun) {
@@ -191,12 +192,12 @@
   CHECK(Table_.planWrite(Now_).has_value());
   claim(2);
   Table_.failed(Told_);
-  expectTold({ClaimAnswer::StoreUnavailable, ClaimAnswer::StoreUnavailable});
+  expectTold({ClaimOutcome::StoreUnavailable, ClaimOutcome::StoreUnavailable});
   LONGS_EQUAL(0, Table_.size());
 }
 
 TEST(ClaimTable, aCancelledClaimIsFreeForTheNextTry) {
-  const ClaimVerdict Asked = claim(1);
+  const ClaimResult Asked = claim(1);
   const ClaimObject Planned = Table_.planWrite(Now_).value_or(ClaimObject());
   Table_.cancel(keyOf(1), Asked.Grant_);
   CHECK(Store_.put(Planned));
@@ -212,12 +213,12 @@
   CHECK(Table.load({}, 1));
   Table.claim(keyOf(1), 5, Now_);
   Table.claim(keyOf(2), 5, Now_);
-  CHECK(ClaimAnswer::Full == Table.claim(keyOf(3), 5, Now_).Outcome_);
+  CHECK(ClaimOutcome::Full == Table.claim(keyOf(3), 5, Now_).Outcome_);
   Table.planWrite(Now_);
   Table.written(1, Told_);
-  CHECK(ClaimAnswer::Full == Table.claim(keyOf(3), 5, Now_).Outcome_);
+  CHECK(ClaimOutcome::Full == Table.claim(keyOf(3), 5, Now_).Outcome_);
   Now_ += Small.Retention_ + 1s;
-  CHECK(ClaimAnswer::Pending == Table.claim(keyOf(3), 5, Now_).Outcome_);
+  CHECK(ClaimOutcome::Pending == Table.claim(keyOf(3), 5, Now_).Outcome_);
 }
 
 // A first run is proven not run, its claim is given up and leaves the store. A
@@ -237,7 +238,8 @@
   CHECK(Store_.put(Successor.planWrite(Now_).value_or(ClaimObject())));
   Successor.written(Store_.Value_.Version_, Told_);
   Successor.finish(keyOf(1), First, Ran::No, 0, Now_);
-  CHECK(ClaimAnswer::MayHaveRun == Successor.claim(keyOf(1), 5, Now_).Outcome_);
+  CHECK(ClaimOutcome::MayHaveRun ==
+        Successor.claim(keyOf(1), 5, Now_).Outcome_);
 }
 
 // A freed claim is asked for again, and the answer to its write is lost. The
@@ -262,7 +264,8 @@
   write();
   ClaimTable Successor(2);
   CHECK(Successor.load(Store_.Value_, 2));
-  CHECK(ClaimAnswer::AlreadyRun == Successor.claim(keyOf(1), 5, Now_).Outcome_);
+  CHECK(ClaimOutcome::AlreadyRun ==
+        Successor.claim(keyOf(1), 5, Now_).Outcome_);
 }
 
 TEST(ClaimTable, onlyTheLostHostsPartitionsMove) {
@@ -355,9 +358,9 @@
   void claim() {
     if (Owners_.empty())
       return;
-    const ClaimVerdict Asked =
+    const ClaimResult Asked =
         anyOwner().Table_.claim(keyOf(drawBelow(Numbers_, 20)), 5, Now_);
-    if (Asked.Outcome_ == ClaimAnswer::Granted)
+    if (Asked.Outcome_ == ClaimOutcome::Granted)
       run(Asked);
   }
 
@@ -373,7 +376,7 @@
     if (Owners_.empty())
       return;
     Owner &One = anyOwner();
-    std::vector<ClaimVerdict> Told;
+    std::vector<ClaimResult> Told;
     if (One.Table_.needsReadBack()) {
       One.Table_.readBack(Store_.Value_, Told);
     } else if (One.Under_) {
@@ -389,12 +392,12 @@
         One.Table_.written(Store_.Value_.Version_, Told);
       }
     }
-    for (const ClaimVerdict &Each : Told)
-      if (Each.Outcome_ == ClaimAnswer::Granted)
+    for (const ClaimResult &Each : Told)
+      if (Each.Outcome_ == ClaimOutcome::Granted)
         run(Each);
   }
 
-  void run(const ClaimVerdict &Granted) {
+  void run(const ClaimResult &Granted) {
     const bool RunsHere = drawBelow(Numbers_, 2) == 0; // else shed: not run
     Runs_[Granted.Key_] += RunsHere ? 1 : 0;
     Held_.push_back({Granted.Key_.High_, Granted.Grant_, RunsHere});
--- a/tests/retrying/SendVerdictTest.cpp
+++ b/tests/retrying/SendVerdictTest.cpp
@@ -5,46 +5,49 @@
 
 #include "CppUTest/TestHarness.h"
 
-using lychee::retrying::judgeSend;
+using lychee::retrying::evaluateRetry;
 using lychee::retrying::nameOf;
 using lychee::retrying::Ran;
-using lychee::retrying::Resend;
-using lychee::retrying::SendEnd;
+using lychee::retrying::RetryRule;
+using lychee::retrying::RetryVerdict;
 using lychee::retrying::SendEndCount;
 using lychee::retrying::SendFacts;
-using lychee::retrying::SendVerdict;
+using lychee::retrying::SendOutcome;
 
 namespace {
 
 /// One row of the truth table, for both kinds of requests.
 struct Row {
-  SendEnd End_;
+  SendOutcome End_;
   Ran Ran_;
-  Resend Idempotent_;
-  Resend NotIdempotent_;
+  RetryRule Idempotent_;
+  RetryRule NotIdempotent_;
 };
 
 constexpr std::array<Row, SendEndCount> Rows = {{
-    {SendEnd::Answered, Ran::Yes, Resend::NotNeeded, Resend::NotNeeded},
-    {SendEnd::Shed, Ran::No, Resend::Allowed, Resend::Allowed},
-    {SendEnd::ConnectFailed, Ran::No, Resend::Allowed, Resend::Allowed},
-    {SendEnd::ClosedBeforeWrite, Ran::No, Resend::Allowed, Resend::Allowed},
-    {SendEnd::LostAfterPartialWrite, Ran::Maybe, Resend::AllowedAsIdempotent,
-     Resend::ForbiddenMayHaveRun},
-    {SendEnd::LostBeforeResponse, Ran::Maybe, Resend::AllowedAsIdempotent,
-     Resend::ForbiddenMayHaveRun},
-    {SendEnd::ResponseTruncated, Ran::Maybe, Resend::AllowedAsIdempotent,
-     Resend::ForbiddenMayHaveRun},
-    {SendEnd::ResponseInvalid, Ran::Maybe, Resend::AllowedAsIdempotent,
-     Resend::ForbiddenMayHaveRun},
-    {SendEnd::CancelledBeforeWrite, Ran::No, Resend::ForbiddenCancelled,
-     Resend::ForbiddenCancelled},
-    {SendEnd::Cancelled, Ran::Maybe, Resend::ForbiddenCancelled,
-     Resend::ForbiddenCancelled},
+    {SendOutcome::Answered, Ran::Yes, RetryRule::NotNeeded,
+     RetryRule::NotNeeded},
+    {SendOutcome::Shed, Ran::No, RetryRule::Allowed, RetryRule::Allowed},
+    {SendOutcome::ConnectFailed, Ran::No, RetryRule::Allowed,
+     RetryRule::Allowed},
+    {SendOutcome::ClosedBeforeWrite, Ran::No, RetryRule::Allowed,
+     RetryRule::Allowed},
+    {SendOutcome::LostAfterPartialWrite, Ran::Maybe,
+     RetryRule::AllowedAsIdempotent, RetryRule::ForbiddenMayHaveRun},
+    {SendOutcome::LostBeforeResponse, Ran::Maybe,
+     RetryRule::AllowedAsIdempotent, RetryRule::ForbiddenMayHaveRun},
+    {SendOutcome::ResponseTruncated, Ran::Maybe, RetryRule::AllowedAsIdempotent,
+     RetryRule::ForbiddenMayHaveRun},
+    {SendOutcome::ResponseInvalid, Ran::Maybe, RetryRule::AllowedAsIdempotent,
+     RetryRule::ForbiddenMayHaveRun},
+    {SendOutcome::CancelledBeforeWrite, Ran::No, RetryRule::ForbiddenCancelled,
+     RetryRule::ForbiddenCancelled},
+    {SendOutcome::Cancelled, Ran::Maybe, RetryRule::ForbiddenCancelled,
+     RetryRule::ForbiddenCancelled},
 }};
 
-void checkVerdict(const SendFacts &Facts, const SendVerdict &Expected) {
-  const SendVerdict Found = judgeSend(Facts);
+void checkVerdict(const SendFacts &Facts, const RetryVerdict &Expected) {
+  const RetryVerdict Found = evaluateRetry(Facts);
   const std::string Row = std::string(nameOf(Facts.End_)) +
                           (Facts.Idempotent_ ? " idempotent" : "") +
                           (Facts.AnswerStarted_ ? " started" : "");
@@ -55,12 +58,12 @@
 
 } // namespace
 
-TEST_GROUP(SendVerdict){};
+TEST_GROUP(RetryVerdict){};
 
-TEST(SendVerdict, everyEndOfASendWithoutAnswerBytes) {
+TEST(RetryVerdict, everyEndOfASendWithoutAnswerBytes) {
   for (std::uint8_t Index = 0; Index < SendEndCount; ++Index) {
     const Row &Each = Rows[Index];
-    CHECK(static_cast<SendEnd>(Index) == Each.End_);
+    CHECK(static_cast<SendOutcome>(Index) == Each.End_);
     checkVerdict({Each.End_, true, false}, {Each.Ran_, Each.Idempotent_});
     checkVerdict({Each.End_, false, false}, {Each.Ran_, Each.NotIdempotent_});
   }
@@ -69,18 +72,18 @@
 // The first bytes of an answer have gone to the caller when the send ends.
 // A second send would put a second answer behind the first part of the first.
 // So none is made, for idempotent requests either, and "not run" is never said.
-TEST(SendVerdict, nothingIsSentAgainOnceTheAnswerHasStarted) {
+TEST(RetryVerdict, nothingIsSentAgainOnceTheAnswerHasStarted) {
   for (const Row &Each : Rows)
     for (const bool Idempotent : {true, false}) {
-      const SendVerdict Found = judgeSend({Each.End_, Idempotent, true});
+      const RetryVerdict Found = evaluateRetry({Each.End_, Idempotent, true});
       CHECK_FALSE(Found.mayRetry());
       CHECK(Found.Ran_ != Ran::No);
     }
 }
 
-TEST(SendVerdict, aRequestThatMayHaveRunIsSentAgainOnlyIfIdempotent) {
+TEST(RetryVerdict, aRequestThatMayHaveRunIsSentAgainOnlyIfIdempotent) {
   for (const Row &Each : Rows) {
-    const SendVerdict Found = judgeSend({Each.End_, false, false});
+    const RetryVerdict Found = evaluateRetry({Each.End_, false, false});
     CHECK(!Found.mayRetry() || Found.Ran_ == Ran::No);
   }
 }
--- a/tests/steering/SlotBookTest.cpp
+++ b/tests/steering/SlotBookTest.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-TEST_GROUP(SlotBook) {
+TEST_GROUP(SlotTable) {
   static constexpr std::size_t Hosts = 3;
   static constexpr std::size_t Targets = 5;
   std::vector<std::unique_ptr<steering::SlotTable>> Books_;
@@ -64,12 +64,12 @@
   }
 };
 
-TEST(SlotBook, hostsTogetherHoldEachSlotOnce) {
+TEST(SlotTable, hostsTogetherHoldEachSlotOnce) {
   for (std::size_t Number = 0; Number < Targets; ++Number)
     LONGS_EQUAL(SlotsOfTarget, sum(Number));
 }
 
-TEST(SlotBook, beforeItsEpochHasSettledAHostHoldsNone) {
+TEST(SlotTable, beforeItsEpochHasSettledAHostHoldsNone) {
   steering::SlotTable Fresh(host(9));
   Fresh.enterEpoch(1, Members_, Members_);
   const std::vector<lychee::placement::TargetSpec> Specs{{target(0), 4, false}};
@@ -77,7 +77,7 @@
   LONGS_EQUAL(0, Fresh.held(target(0)));
 }
 
-TEST(SlotBook, aLostDoubledOrLateMessageMakesNoSlot) {
+TEST(SlotTable, aLostDoubledOrLateMessageMakesNoSlot) {
   // A gift is lost, the next one comes twice, and the lost one turns up last.
   // Slots are missing until the second message tells both, never doubled.
   const std::size_t Donor = holder(0);
@@ -93,7 +93,7 @@
   LONGS_EQUAL(SlotsOfTarget, sum(0));
 }
 
-TEST(SlotBook, aLostHostsSlotsComeBackOnceItsLeaseIsOver) {
+TEST(SlotTable, aLostHostsSlotsComeBackOnceItsLeaseIsOver) {
   // Host 2 gave a slot away and got one, and dies. What it gave is given up at
   // once, since it was its own; what it got may be in use until its lease is
   // over. After that the two that are left hold every slot.
@@ -115,7 +115,7 @@
     LONGS_EQUAL(SlotsOfTarget, sum(Number, 2));
 }
 
-TEST(SlotBook, slotsThatWentToAndFroCountOnceWhenAHostIsLost) {
+TEST(SlotTable, slotsThatWentToAndFroCountOnceWhenAHostIsLost) {
   // Callers of the hosts that are left would be refused for seconds. Two hosts
   // passed one slot to and fro ten times; one of them dies. The other loses
   // the one slot that is out, not the ten that it ever gave.
@@ -129,7 +129,7 @@
   LONGS_EQUAL(Before, Books_[Donor]->held(target(0)));
 }
 
-TEST(SlotBook, aLeavingTargetGivesNoSlots) {
+TEST(SlotTable, aLeavingTargetGivesNoSlots) {
   const std::vector<lychee::placement::TargetSpec> Specs{{target(0), 4, true}};
   for (const auto &Book : Books_)
     Book->setTargets(Specs);
