--- a/apps/lycheed/Daemon.cpp
+++ b/apps/lycheed/Daemon.cpp
@@ -173,7 +173,7 @@
     return;
   const base::TimePoint Now = SystemClock::monotonicNow();
   for (const auto &[Id, Customer] : Fresh->intent()->Customers_)
-    Rates_.setTotal(steering::FleetSteering::rateBudget(Id),
+    Rates_.setTotal(steering::FleetSteering::rateBudgetName(Id),
                     budget::RateTotal::fromRequests(Customer.RatePerSecond_,
                                                     Customer.Burst_),
                     Now);
--- a/libs/dispatch/DispatchSteering.cpp
+++ b/libs/dispatch/DispatchSteering.cpp
@@ -279,7 +279,7 @@
 
 bool DispatchSteering::mayResend(const Flight &Request,
                                  const SendReport &Report) {
-  const bool OwnFailure = Report.End_ == SendOutcome::Answered &&
+  const bool OwnFailure = Report.Outcome_ == SendOutcome::Answered &&
                           Report.Status_ >= FirstServerFailure;
   if (OwnFailure)
     return Request.Idempotent_ && Request.Sends_ < Request.MaximumSends_;
@@ -300,14 +300,15 @@
   TargetState *Target =
       Request.Tried_.empty() ? nullptr : find(Service, Request.Tried_.back());
   learn(Request, Target, Report, Now);
-  const bool Reached = Report.End_ != SendOutcome::ConnectFailed &&
-                       Report.End_ != SendOutcome::ClosedBeforeWrite;
+  const bool Reached = Report.Outcome_ != SendOutcome::ConnectFailed &&
+                       Report.Outcome_ != SendOutcome::ClosedBeforeWrite;
   if (!Reached) {
     --Request.Sends_;
     ++Request.Misses_;
   }
   // The target closed a kept connection just then; a new one will do.
-  if (Report.End_ == SendOutcome::ClosedBeforeWrite && !Request.Tried_.empty())
+  if (Report.Outcome_ == SendOutcome::ClosedBeforeWrite &&
+      !Request.Tried_.empty())
     Request.Tried_.pop_back();
   const retrying::Ran Ran =
       retrying::evaluateRetry(
@@ -322,11 +323,11 @@
     Request.Reserved_ = false;
   if (Again)
     return send(Ticket, Request, Now);
-  const bool Over = Report.End_ == SendOutcome::Answered ||
-                    Report.End_ == SendOutcome::Cancelled ||
-                    Report.End_ == SendOutcome::CancelledBeforeWrite;
+  const bool Over = Report.Outcome_ == SendOutcome::Answered ||
+                    Report.Outcome_ == SendOutcome::Cancelled ||
+                    Report.Outcome_ == SendOutcome::CancelledBeforeWrite;
   Decision Made =
-      endFailed(Ticket, Report.End_ != SendOutcome::Shed, LeastRetryAfter);
+      endFailed(Ticket, Report.Outcome_ != SendOutcome::Shed, LeastRetryAfter);
   return Over ? Decision() : Made;
 }
 
--- a/libs/gateway/Forwarding.cpp
+++ b/libs/gateway/Forwarding.cpp
@@ -163,7 +163,7 @@
     if (!Refused)
       Refused = recheckKey();
     if (Refused) {
-      finish({.End_ = SendOutcome::Cancelled});
+      finish({.Outcome_ = SendOutcome::Cancelled});
       Decision_ = *Refused;
       noteDecision(base::SystemClock::monotonicNow());
       ProblemDocument Problem = problemFor(Decision_, Request_.Id_.name());
@@ -200,7 +200,7 @@
   if (const auto Late = Shared.Waiting_.abandon(Ticket, Now)) {
     Decision_ = *Late;
     if (Late->Action_ == steering::Decision::Action::Send)
-      finish({.End_ = SendOutcome::Cancelled});
+      finish({.Outcome_ = SendOutcome::Cancelled});
   } else {
     Shared.Others_.Steering_.cancel(Ticket, Now);
   }
@@ -408,7 +408,7 @@
     co_return Ending::Close;
   // Part of the body is gone: it cannot be sent again, whatever was decided.
   if (Decision_.Action_ == steering::Decision::Action::Send)
-    finish({.End_ = SendOutcome::Cancelled});
+    finish({.Outcome_ = SendOutcome::Cancelled});
   else
     Home_.shared().Others_.Steering_.cancel(Decision_.Ticket_,
                                             base::SystemClock::monotonicNow());
@@ -425,7 +425,8 @@
     co_return co_await Answer_.refuseBody(BodyEnd_, Ran);
   if (Caller_.watch().cause() == Watch::Cause::HungUp)
     co_return Ending::Close;
-  co_return co_await Answer_.refuseFor(steering::Refusal::DeadlinePassed, Ran);
+  co_return co_await Answer_.refuseFor(steering::Refusal::DeadlineExceeded,
+                                       Ran);
 }
 
 void Forwarding::finish(const steering::SendReport &Report) {
@@ -435,8 +436,8 @@
   std::vector<steering::Wakeup> Woken;
   Decision_ =
       Shared.Others_.Steering_.finish(Decision_.Ticket_, Report, Now, Woken);
-  if (Report.End_ != SendOutcome::Answered &&
-      Report.End_ != SendOutcome::Cancelled)
+  if (Report.Outcome_ != SendOutcome::Answered &&
+      Report.Outcome_ != SendOutcome::Cancelled)
     noteDecision(Now);
   if (!Woken.empty())
     Home_.deliver(Woken, Now);
--- a/tests/dispatch/DispatchSteeringTest.cpp
+++ b/tests/dispatch/DispatchSteeringTest.cpp
@@ -156,10 +156,10 @@
 // deadline. Ended then, the request would be lost although its target works.
 TEST(DispatchSteering, aSilentTargetIsLeftOnlyForOneThatCanStillAnswer) {
   const Decision Sent = arrive(requestOf(true));
-  CHECK(Sent.PatienceUntil_ < Now_ + 800ms);
-  CHECK(Steering_.mayAbandon(Sent.Ticket_, Now_ + 400ms));
+  CHECK(Sent.ResponseDeadline_ < Now_ + 800ms);
+  CHECK(Steering_.mayAbandonSend(Sent.Ticket_, Now_ + 400ms));
   const Decision Second = arrive(requestOf(true));
-  CHECK_FALSE(Steering_.mayAbandon(Second.Ticket_, Now_ + 790ms));
+  CHECK_FALSE(Steering_.mayAbandonSend(Second.Ticket_, Now_ + 790ms));
 }
 
 // A look-up runs cold at its target, which takes 3.3 times as long as a warm
@@ -225,7 +225,7 @@
 TEST(DispatchSteering, anotherTargetAtTheAddressIsNotSentToAgain) {
   const Decision Sent = arrive(requestOf(true));
   SendReport Report;
-  Report.End_ = SendOutcome::Shed;
+  Report.Outcome_ = SendOutcome::Shed;
   Report.Status_ = 421;
   Report.WrongTarget_ = true;
   Steering_.finish(Sent.Ticket_, Report, Now_, Woken_);
@@ -327,7 +327,7 @@
   Steering_.handleTokenResponse(Waits.Ticket_, base::Duration(700ms), Now_,
                                 Woken_);
   LONGS_EQUAL(1, Woken_.size());
-  CHECK(Woken_[0].Decision_.Refusal_ == Refusal::OverRate);
+  CHECK(Woken_[0].Decision_.Refusal_ == Refusal::RateLimited);
   CHECK(Woken_[0].Decision_.Ran_ == Ran::No);
   CHECK(Woken_[0].Decision_.RetryAfter_ == base::Duration(700ms));
 }
@@ -383,6 +383,6 @@
   Now_ += dispatch::DispatchSteering::TokenPatience;
   Steering_.tick(Now_, Woken_);
   LONGS_EQUAL(1, Woken_.size());
-  CHECK(Woken_[0].Decision_.Refusal_ == Refusal::OverRate);
+  CHECK(Woken_[0].Decision_.Refusal_ == Refusal::RateLimited);
   CHECK(Woken_[0].Decision_.RetryAfter_ == base::Duration(700ms));
 }
--- a/tests/gateway/FakeSteering.cpp
+++ b/tests/gateway/FakeSteering.cpp
@@ -44,13 +44,13 @@
                               base::TimePoint,
                               std::vector<steering::Wakeup> &Woken) {
   const std::lock_guard Guard(Lock_);
-  Ends_.push_back(Report.End_);
+  Ends_.push_back(Report.Outcome_);
   const Ticket Described = Sent_[Number];
-  const bool NotRun = Report.End_ == SendOutcome::Shed ||
-                      Report.End_ == SendOutcome::ConnectFailed ||
-                      Report.End_ == SendOutcome::ClosedBeforeWrite;
-  const bool Over = Report.End_ == SendOutcome::Answered ||
-                    Report.End_ == SendOutcome::Cancelled;
+  const bool NotRun = Report.Outcome_ == SendOutcome::Shed ||
+                      Report.Outcome_ == SendOutcome::ConnectFailed ||
+                      Report.Outcome_ == SendOutcome::ClosedBeforeWrite;
+  const bool Over = Report.Outcome_ == SendOutcome::Answered ||
+                    Report.Outcome_ == SendOutcome::Cancelled;
   if (!Over && !Report.AnswerStarted_ && (NotRun || Described.Idempotent_) &&
       Described.Sends_ < MaximumSends_)
     return send(Number);
