--- a/libs/retrying/Claim.cpp
+++ b/libs/retrying/Claim.cpp
@@ -11,7 +11,7 @@
                       std::string_view IdempotencyKey) {
   static constexpr std::uint64_t HighSeed = 1;
   static constexpr std::uint64_t LowSeed = 2;
-  // The length keeps ("ab", "c") and ("a", "bc") apart.
+  // The length prefix makes ("ab", "c") and ("a", "bc") different keys.
   std::string Text = std::to_string(Customer.name().size());
   Text += ':';
   Text += Customer.name();
--- a/libs/retrying/Claim.h
+++ b/libs/retrying/Claim.h
@@ -13,13 +13,13 @@
 
 namespace lychee::retrying {
 
-/// Names a request that must run at most once: 128 bits, as a doubled hash
-/// would refuse an innocent request as already run.
+/// Identifies a request that must run at most once. 128 bits wide, because a
+/// hash collision would refuse an unrelated request as already run.
 struct ClaimKey {
   std::uint64_t High_ = 0;
   std::uint64_t Low_ = 0;
 
-  /// \param IdempotencyKey  as the caller sent it; two customers' equal keys
+  /// \param IdempotencyKey  as the caller sent it. Equal keys of two customers
   /// are different claims.
   static ClaimKey of(const base::CustomerId &Customer,
                      std::string_view IdempotencyKey);
@@ -28,18 +28,18 @@
 };
 
 enum class ClaimState : std::uint8_t {
-  /// Someone was let run it; whether it ran is not known.
+  /// A host was allowed to run the request; whether it ran is not known.
   Granted,
-  /// It ran, and was answered with Status_.
+  /// The request ran and was answered with Status_.
   Done,
 };
 
-/// One claim as it stands in the store.
+/// One claim as it is stored.
 struct ClaimRecord {
   ClaimKey Key_;
-  /// Hash of what was asked, so that one key for two requests is noticed.
+  /// Hash of the request, to detect a key that is used for two requests.
   std::uint64_t Fingerprint_ = 0;
-  /// Which permission to run this is; no two of a key are the same.
+  /// Number of the grant; no two grants of a key have the same number.
   std::uint64_t Grant_ = 0;
   ClaimState State_ = ClaimState::Granted;
   std::uint16_t Status_ = 0;
@@ -50,23 +50,24 @@
 
 /// One partition's claims: the value of one object in the store.
 struct ClaimObject {
-  /// The store's version of it; 0 where it does not exist yet. A write names
-  /// the version that it expects, so a paused owner's write fails.
+  /// Version of the object in the store; 0 if it does not exist yet. A write
+  /// is conditional on the version, so that the write of an owner that was
+  /// paused and replaced fails.
   std::uint64_t Version_ = 0;
   /// Membership epoch of the writer.
   std::uint64_t Epoch_ = 0;
-  /// The writer: one start of one host.
+  /// Incarnation of the host that wrote it.
   std::uint64_t Writer_ = 0;
   std::vector<ClaimRecord> Records_;
 };
 
-/// \returns the partition of \p Key, below \p Partitions.
+/// \returns the partition of \p Key, less than \p Partitions.
 std::uint32_t partitionOf(const ClaimKey &Key,
                           std::uint32_t Partitions) noexcept;
 
 /// \returns the index in \p Members of the host that owns \p Partition, by
-/// rendezvous hashing: when a host goes, only its own partitions move.
-/// \param Members  at least one.
+/// rendezvous hashing: when a host leaves, only its own partitions move.
+/// \param Members  must not be empty.
 std::size_t ownerOf(std::uint32_t Partition,
                     std::span<const base::HostId> Members) noexcept;
 
--- a/libs/retrying/ClaimTable.cpp
+++ b/libs/retrying/ClaimTable.cpp
@@ -8,38 +8,38 @@
 
 namespace {
 
-/// Grants between two loads: 4 billion.
+/// Bits of a grant number below the version: 4 billion grants between loads.
 constexpr unsigned GrantBits = 32;
 
 } // namespace
 
 bool ClaimTable::load(const ClaimObject &Read, std::uint64_t Epoch) {
-  assert(!Loaded_ && "a table is given up before it is loaded again");
+  assert(!Loaded_ && "a table is unloaded before it is loaded again");
   if (Read.Epoch_ > Epoch)
     return false;
   Epoch_ = Epoch;
   Version_ = Read.Version_;
-  Writing_ = Writing::Idle;
+  WriteState_ = WriteState::Idle;
   Queued_ = 0;
-  OldestOutcome_.reset();
+  OldestUnwrittenOutcome_.reset();
   Claims_.clear();
   for (const ClaimRecord &Each : Read.Records_) {
     const bool Done = Each.State_ == ClaimState::Done;
-    Claims_[Each.Key_] = {Each, Done ? Phase::Done : Phase::Held, false};
+    Claims_[Each.Key_] = {Each, Done ? Phase::Done : Phase::Granted, false};
   }
-  // Above every number granted before: whoever granted one wrote the object
-  // since it was loaded, so that this version is higher. A number used twice
-  // would let a late word about the first run free the second.
+  // Higher than every earlier grant number: an owner that granted a claim wrote
+  // the object after loading it, so that this version is higher. If a number
+  // were reused, a late outcome of the first run would release the second.
   LastGrant_ = Version_ << GrantBits;
   Loaded_ = true;
   return true;
 }
 
-void ClaimTable::unload(std::vector<ClaimResult> &Told) {
-  denyWaiting(ClaimOutcome::NotOwner, Told);
+void ClaimTable::unload(std::vector<ClaimResult> &Results) {
+  rejectPending(ClaimOutcome::NotOwner, Results);
   Claims_.clear();
   Loaded_ = false;
-  Writing_ = Writing::Idle;
+  WriteState_ = WriteState::Idle;
 }
 
 ClaimResult ClaimTable::claim(const ClaimKey &Key, std::uint64_t Fingerprint,
@@ -48,34 +48,34 @@
     return {ClaimOutcome::NotOwner, Key, 0, 0};
   const auto Known = Claims_.find(Key);
   if (Known != Claims_.end())
-    return answerKnown(Known->second, Fingerprint, Now);
-  if (Claims_.size() >= Limits_.Most_)
-    forgetOld(Now);
-  if (Claims_.size() >= Limits_.Most_)
+    return claimExisting(Known->second, Fingerprint, Now);
+  if (Claims_.size() >= Limits_.MaxClaims_)
+    removeExpired(Now);
+  if (Claims_.size() >= Limits_.MaxClaims_)
     return {ClaimOutcome::Full, Key, 0, 0};
 
-  Claim Fresh;
-  Fresh.Record_.Key_ = Key;
-  Fresh.Record_.Fingerprint_ = Fingerprint;
-  Fresh.Record_.Grant_ = ++LastGrant_;
-  Fresh.Record_.At_ = Now;
-  Claims_.emplace(Key, Fresh);
+  Claim Added;
+  Added.Record_.Key_ = Key;
+  Added.Record_.Fingerprint_ = Fingerprint;
+  Added.Record_.Grant_ = ++LastGrant_;
+  Added.Record_.At_ = Now;
+  Claims_.emplace(Key, Added);
   ++Queued_;
-  return {ClaimOutcome::Pending, Key, Fresh.Record_.Grant_, 0};
+  return {ClaimOutcome::Pending, Key, Added.Record_.Grant_, 0};
 }
 
-ClaimResult ClaimTable::answerKnown(Claim &Known, std::uint64_t Fingerprint,
-                                    base::WallPoint Now) {
+ClaimResult ClaimTable::claimExisting(Claim &Known, std::uint64_t Fingerprint,
+                                      base::WallPoint Now) {
   const ClaimRecord &Record = Known.Record_;
   if (Record.Fingerprint_ != Fingerprint)
     return {ClaimOutcome::KeyReused, Record.Key_, 0, 0};
   if (Known.Phase_ == Phase::Done)
     return {ClaimOutcome::AlreadyRun, Record.Key_, 0, Record.Status_};
-  if (Known.Phase_ != Phase::Free)
+  if (Known.Phase_ != Phase::Released)
     return {ClaimOutcome::MayHaveRun, Record.Key_, 0, 0};
-  // Granted anew only by a write: an owner that was replaced while paused could
-  // otherwise give the permission that its successor gives as well. The new
-  // number keeps the first holder's late word from freeing it again.
+  // Granted again only after a write: an owner that was replaced while paused
+  // could otherwise issue the grant that its successor issues as well. The new
+  // number keeps a late outcome of the first grant from releasing it again.
   Known.Record_.Grant_ = ++LastGrant_;
   Known.Record_.At_ = Now;
   Known.Phase_ = Phase::Queued;
@@ -84,9 +84,9 @@
 }
 
 std::optional<ClaimObject> ClaimTable::planWrite(base::WallPoint Now) {
-  if (!Loaded_ || Writing_ != Writing::Idle || !hasWork(Now))
+  if (!Loaded_ || WriteState_ != WriteState::Idle || !needsWrite(Now))
     return std::nullopt;
-  forgetOld(Now);
+  removeExpired(Now);
   ClaimObject Planned;
   Planned.Version_ = Version_;
   Planned.Epoch_ = Epoch_;
@@ -98,47 +98,48 @@
     Planned.Records_.push_back(Each.Record_);
   }
   Queued_ = 0;
-  OldestOutcome_.reset();
-  Writing_ = Writing::UnderWay;
+  OldestUnwrittenOutcome_.reset();
+  WriteState_ = WriteState::InFlight;
   return Planned;
 }
 
 void ClaimTable::written(std::uint64_t Version,
-                         std::vector<ClaimResult> &Told) {
-  assert(Writing_ == Writing::UnderWay && "a write ends once");
-  Writing_ = Writing::Idle;
+                         std::vector<ClaimResult> &Results) {
+  assert(WriteState_ == WriteState::InFlight && "a write ends once");
+  WriteState_ = WriteState::Idle;
   Version_ = Version;
   for (auto &[Key, Each] : Claims_)
     if (Each.Phase_ == Phase::Writing)
-      grant(Each, Told);
+      grant(Each, Results);
 }
 
-void ClaimTable::failed(std::vector<ClaimResult> &Told) {
-  assert(Writing_ == Writing::UnderWay && "a write ends once");
-  Writing_ = Writing::Idle;
-  denyWaiting(ClaimOutcome::StoreUnavailable, Told);
+void ClaimTable::failed(std::vector<ClaimResult> &Results) {
+  assert(WriteState_ == WriteState::InFlight && "a write ends once");
+  WriteState_ = WriteState::Idle;
+  rejectPending(ClaimOutcome::StoreUnavailable, Results);
 }
 
 void ClaimTable::inDoubt() noexcept {
-  assert(Writing_ == Writing::UnderWay && "a write ends once");
-  Writing_ = Writing::InDoubt;
+  assert(WriteState_ == WriteState::InFlight && "a write ends once");
+  WriteState_ = WriteState::InDoubt;
 }
 
 void ClaimTable::readBack(const ClaimObject &Read,
-                          std::vector<ClaimResult> &Told) {
-  assert(Writing_ == Writing::InDoubt && "only a write in doubt is read back");
-  // Unchanged: the write has not taken effect, and may yet. The next group
-  // expects the same version, so at most one of the two does.
+                          std::vector<ClaimResult> &Results) {
+  assert(WriteState_ == WriteState::InDoubt &&
+         "only an in-doubt write is read back");
+  // Unchanged: the write has not taken effect, but may still do so. The next
+  // write expects the same version, so that at most one of the two succeeds.
   const bool Unchanged = Read.Version_ == Version_;
   if (!Unchanged && Read.Writer_ != Owner_)
-    return unload(Told);
-  Writing_ = Writing::Idle;
+    return unload(Results);
+  WriteState_ = WriteState::Idle;
   Version_ = Read.Version_;
   for (const ClaimRecord &Each : Read.Records_) {
     const auto Known = Claims_.find(Each.Key_);
     if (Known != Claims_.end() && Known->second.Phase_ == Phase::Writing &&
         Known->second.Record_.Grant_ == Each.Grant_)
-      grant(Known->second, Told);
+      grant(Known->second, Results);
   }
   for (auto &[Key, Each] : Claims_) {
     if (Each.Phase_ != Phase::Writing)
@@ -148,22 +149,22 @@
   }
 }
 
-void ClaimTable::finish(const ClaimKey &Key, std::uint64_t Grant, Ran Ended,
+void ClaimTable::finish(const ClaimKey &Key, std::uint64_t Grant, Ran Result,
                         std::uint16_t Status, base::WallPoint Now) {
   const auto Known = Claims_.find(Key);
   if (Known == Claims_.end() || Known->second.Record_.Grant_ != Grant ||
-      Known->second.Phase_ != Phase::Held)
+      Known->second.Phase_ != Phase::Granted)
     return;
-  Claim &Held = Known->second;
-  if (Ended == Ran::No)
-    Held.Phase_ = Phase::Free;
-  if (Ended != Ran::Yes)
+  Claim &Finished = Known->second;
+  if (Result == Ran::No)
+    Finished.Phase_ = Phase::Released;
+  if (Result != Ran::Yes)
     return;
-  Held.Phase_ = Phase::Done;
-  Held.Record_.State_ = ClaimState::Done;
-  Held.Record_.Status_ = Status;
-  if (!OldestOutcome_)
-    OldestOutcome_ = Now;
+  Finished.Phase_ = Phase::Done;
+  Finished.Record_.State_ = ClaimState::Done;
+  Finished.Record_.Status_ = Status;
+  if (!OldestUnwrittenOutcome_)
+    OldestUnwrittenOutcome_ = Now;
 }
 
 void ClaimTable::cancel(const ClaimKey &Key, std::uint64_t Grant) {
@@ -178,51 +179,53 @@
   --Queued_;
 }
 
-void ClaimTable::grant(Claim &Written, std::vector<ClaimResult> &Told) {
+void ClaimTable::grant(Claim &Written, std::vector<ClaimResult> &Results) {
   if (Written.Cancelled_) {
     Written.Cancelled_ = false;
-    Written.Phase_ = Phase::Free;
+    Written.Phase_ = Phase::Released;
     return;
   }
-  Written.Phase_ = Phase::Held;
-  Told.push_back(
+  Written.Phase_ = Phase::Granted;
+  Results.push_back(
       {ClaimOutcome::Granted, Written.Record_.Key_, Written.Record_.Grant_, 0});
 }
 
-void ClaimTable::forgetOld(base::WallPoint Now) {
+void ClaimTable::removeExpired(base::WallPoint Now) {
   const base::WallPoint Oldest = Now - Limits_.Retention_;
   std::erase_if(Claims_, [Oldest](const auto &Each) {
-    const Phase Stands = Each.second.Phase_;
-    const bool Waits = Stands == Phase::Queued || Stands == Phase::Writing;
-    return !Waits && Each.second.Record_.At_ < Oldest;
+    const Phase Current = Each.second.Phase_;
+    const bool IsPending =
+        Current == Phase::Queued || Current == Phase::Writing;
+    return !IsPending && Each.second.Record_.At_ < Oldest;
   });
 }
 
-void ClaimTable::denyWaiting(ClaimOutcome Answer,
-                             std::vector<ClaimResult> &Told) {
-  std::erase_if(Claims_, [Answer, &Told](const auto &Each) {
-    const Phase Stands = Each.second.Phase_;
-    if (Stands != Phase::Queued && Stands != Phase::Writing)
+void ClaimTable::rejectPending(ClaimOutcome Outcome,
+                               std::vector<ClaimResult> &Results) {
+  std::erase_if(Claims_, [Outcome, &Results](const auto &Each) {
+    const Phase Current = Each.second.Phase_;
+    if (Current != Phase::Queued && Current != Phase::Writing)
       return false;
     if (!Each.second.Cancelled_)
-      Told.push_back({Answer, Each.first, Each.second.Record_.Grant_, 0});
+      Results.push_back({Outcome, Each.first, Each.second.Record_.Grant_, 0});
     return true;
   });
   Queued_ = 0;
 }
 
-bool ClaimTable::hasWork(base::WallPoint Now) const noexcept {
+bool ClaimTable::needsWrite(base::WallPoint Now) const noexcept {
   if (Queued_ > 0)
     return true;
-  return OldestOutcome_ && Now - *OldestOutcome_ >= Limits_.OutcomeDelay_;
+  return OldestUnwrittenOutcome_ &&
+         Now - *OldestUnwrittenOutcome_ >= Limits_.OutcomeDelay_;
 }
 
-std::string_view nameOf(ClaimOutcome Answer) noexcept {
+std::string_view nameOf(ClaimOutcome Outcome) noexcept {
   static constexpr std::array<std::string_view, 8> Names = {
       "pending",       "granted", "already-run", "may-have-run",
       "other-request", "full",    "not-owner",   "store-down",
   };
-  return Names[static_cast<std::size_t>(Answer)];
+  return Names[static_cast<std::size_t>(Outcome)];
 }
 
 } // namespace lychee::retrying
--- a/libs/retrying/CrashSuspects.cpp
+++ b/libs/retrying/CrashSuspects.cpp
@@ -17,7 +17,7 @@
     return;
   Shard &Home = shardOf(Fingerprint);
   const std::scoped_lock Guard(Home.Lock_);
-  Count_ -= Home.Known_.erase(Fingerprint);
+  Count_ -= Home.Losses_.erase(Fingerprint);
 }
 
 base::TimePoint CrashSuspects::suspectUntil(std::uint64_t Fingerprint,
@@ -26,23 +26,23 @@
     return Now;
   const Shard &Home = shardOf(Fingerprint);
   const std::scoped_lock Guard(Home.Lock_);
-  const auto Found = Home.Known_.find(Fingerprint);
-  if (Found == Home.Known_.end() || Found->second[1].Target_ == 0)
+  const auto Found = Home.Losses_.find(Fingerprint);
+  if (Found == Home.Losses_.end() || Found->second[1].Target_ == 0)
     return Now;
   const Losses &Seen = Found->second;
   const base::TimePoint Older = std::min(Seen[0].At_, Seen[1].At_);
   const base::TimePoint Newer = std::max(Seen[0].At_, Seen[1].At_);
-  if (Newer - Older > EvidenceAge)
+  if (Newer - Older > EvidenceLifetime)
     return Now;
-  return std::max(Now, Newer + EvidenceAge);
+  return std::max(Now, Newer + EvidenceLifetime);
 }
 
 bool CrashSuspects::isSuspect(const Losses &Seen) noexcept {
   return Seen[0].Target_ != 0 && Seen[1].Target_ != 0;
 }
 
-base::Duration CrashSuspects::toldFor(const Losses &Seen) noexcept {
-  return isSuspect(Seen) ? EvidenceAge : ToldFor;
+base::Duration CrashSuspects::announcePeriodOf(const Losses &Seen) noexcept {
+  return isSuspect(Seen) ? EvidenceLifetime : AnnouncePeriod;
 }
 
 std::vector<CrashEvidence> CrashSuspects::evidence(base::TimePoint Now) const {
@@ -50,9 +50,9 @@
   std::vector<CrashEvidence> Others;
   for (const Shard &Each : Shards_) {
     const std::scoped_lock Guard(Each.Lock_);
-    for (const auto &[Fingerprint, Seen] : Each.Known_)
+    for (const auto &[Fingerprint, Seen] : Each.Losses_)
       for (const Loss &One : Seen)
-        if (One.Target_ != 0 && Now - One.At_ <= toldFor(Seen))
+        if (One.Target_ != 0 && Now - One.At_ <= announcePeriodOf(Seen))
           (isSuspect(Seen) ? Suspects : Others)
               .push_back({Fingerprint, One.Target_, Now - One.At_});
   }
@@ -63,14 +63,14 @@
   std::sort(Suspects.begin(), Suspects.end(), IsNewer);
   std::sort(Others.begin(), Others.end(), IsNewer);
   Suspects.insert(Suspects.end(), Others.begin(), Others.end());
-  Suspects.resize(std::min(Suspects.size(), MostTold));
+  Suspects.resize(std::min(Suspects.size(), MaxAnnounced));
   return Suspects;
 }
 
-void CrashSuspects::merge(std::span<const CrashEvidence> Told,
+void CrashSuspects::merge(std::span<const CrashEvidence> Received,
                           base::TimePoint Now) {
-  for (const CrashEvidence &One : Told)
-    if (One.Age_ <= EvidenceAge)
+  for (const CrashEvidence &One : Received)
+    if (One.Age_ <= EvidenceLifetime)
       add(One.Fingerprint_, {One.Target_, Now - One.Age_});
 }
 
@@ -82,13 +82,13 @@
 void CrashSuspects::add(std::uint64_t Fingerprint, Loss Seen) {
   Shard &Home = shardOf(Fingerprint);
   const std::scoped_lock Guard(Home.Lock_);
-  if (Home.Known_.size() >= MostFingerprints / ShardCount &&
-      !Home.Known_.contains(Fingerprint))
-    makeRoom(Home);
-  const auto [Place, Fresh] = Home.Known_.try_emplace(Fingerprint);
-  if (Fresh)
+  if (Home.Losses_.size() >= MaxFingerprints / ShardCount &&
+      !Home.Losses_.contains(Fingerprint))
+    evictOldest(Home);
+  const auto [Entry, IsNew] = Home.Losses_.try_emplace(Fingerprint);
+  if (IsNew)
     ++Count_;
-  Losses &Known = Place->second;
+  Losses &Known = Entry->second;
   const auto Same =
       std::find_if(Known.begin(), Known.end(), [&Seen](const Loss &One) {
         return One.Target_ == Seen.Target_;
@@ -105,16 +105,16 @@
     Oldest = Seen;
 }
 
-void CrashSuspects::makeRoom(Shard &Full) {
+void CrashSuspects::evictOldest(Shard &Full) {
   const auto LatestOf = [](const Losses &Seen) {
     return std::max(Seen[0].At_, Seen[1].At_);
   };
   const auto Oldest =
-      std::min_element(Full.Known_.begin(), Full.Known_.end(),
+      std::min_element(Full.Losses_.begin(), Full.Losses_.end(),
                        [LatestOf](const auto &Left, const auto &Right) {
                          return LatestOf(Left.second) < LatestOf(Right.second);
                        });
-  Full.Known_.erase(Oldest);
+  Full.Losses_.erase(Oldest);
   --Count_;
 }
 
--- a/libs/retrying/RetryBudget.cpp
+++ b/libs/retrying/RetryBudget.cpp
@@ -23,16 +23,16 @@
   return true;
 }
 
-void RetryBudget::earn(double Amount) noexcept {
-  Tokens_ =
-      std::min(inMicrotokens(Limits_.Most_), Tokens_ + inMicrotokens(Amount));
+void RetryBudget::addTokens(double Amount) noexcept {
+  Tokens_ = std::min(inMicrotokens(Limits_.MaxTokens_),
+                     Tokens_ + inMicrotokens(Amount));
 }
 
 void RetryBudget::refill(base::TimePoint Now) noexcept {
-  if (Now <= Refilled_)
+  if (Now <= LastRefill_)
     return;
-  earn(Limits_.EarnedEachSecond_ * base::toSeconds(Now - Refilled_));
-  Refilled_ = Now;
+  addTokens(Limits_.TokensPerSecond_ * base::toSeconds(Now - LastRefill_));
+  LastRefill_ = Now;
 }
 
 } // namespace lychee::retrying
--- a/libs/retrying/RetryBudget.h
+++ b/libs/retrying/RetryBudget.h
@@ -8,59 +8,63 @@
 
 namespace lychee::retrying {
 
-/// Bounds second sends to a fraction of the sends that succeeded.
+/// Limits retries and hedges to a fraction of the sends that succeeded.
 ///
 /// Load pattern: targets fail or shed because they are overloaded. Without a
-/// budget each request becomes up to as many sends as there are retries, and
-/// the overload keeps itself up after its cause has gone. With a fraction of
-/// successes, second sends fade just as successes do.
+/// budget each request becomes as many sends as it may be retried, and the
+/// overload sustains itself after its cause has gone. With a fraction of the
+/// successes, retries decrease together with the successes.
 ///
-/// Use one for the host and one for each target, and spend from both or from
-/// neither: the host's bounds the sum, the target's keeps one recovering
-/// target from taking every second send of the host. \see spendBoth
+/// Use one budget for the host and one for each target, and take a token from
+/// both or from neither: the host's budget limits the total, and a target's
+/// budget keeps a recovering target from consuming all retries of the host.
+/// \see spendBoth
 ///
 /// Not thread-safe: the owner guards it by its shard's lock.
 class RetryBudget {
 public:
   struct Limits {
-    /// Second sends earned by one success. At 0.1 a full outage adds at most
-    /// a tenth to the load; 0.2 is the usual upper end in the field.
-    double EarnedBySuccess_ = 0.1;
-    /// Second sends allowed each second without any success, so that a quiet
-    /// service can retry its first failure.
-    double EarnedEachSecond_ = 1;
-    /// Most that can be saved up: covers the requests that one lost target
-    /// can hold (4 slots) with some over, and is spent within one outage.
-    double Most_ = 10;
+    /// Tokens gained per success. At 0.1 a full outage adds at most a tenth to
+    /// the load; 0.2 is the usual upper end in the field.
+    double TokensPerSuccess_ = 0.1;
+    /// Tokens gained per second without any success, so that a service with
+    /// little traffic can retry its first failure.
+    double TokensPerSecond_ = 1;
+    /// Upper bound of the saved tokens. It covers the requests that one lost
+    /// target can hold (4 slots) with a margin, and is spent within one outage.
+    double MaxTokens_ = 10;
   };
 
   RetryBudget() noexcept : RetryBudget(Limits()) {}
-  explicit RetryBudget(const Limits &Set) noexcept
-      : Limits_(Set), Tokens_(inMicrotokens(Set.Most_)) {}
+  explicit RetryBudget(const Limits &Config) noexcept
+      : Limits_(Config), Tokens_(inMicrotokens(Config.MaxTokens_)) {}
 
-  void recordSuccess() noexcept { earn(Limits_.EarnedBySuccess_); }
+  void recordSuccess() noexcept { addTokens(Limits_.TokensPerSuccess_); }
 
-  /// \returns true and takes one token where there is one.
+  /// Takes one token. \returns false if there is none.
   bool spend(base::TimePoint Now) noexcept;
 
-  /// Takes one token from each, or none where either has none.
+  /// Takes one token from each budget. \returns false, and takes none, if
+  /// either budget has no token.
   static bool spendBoth(RetryBudget &Host, RetryBudget &Target,
                         base::TimePoint Now) noexcept;
 
 private:
-  void earn(double Amount) noexcept;
+  void addTokens(double Amount) noexcept;
   void refill(base::TimePoint Now) noexcept;
 
-  /// Whole numbers: ten tenths in floating point are less than one.
+  /// Tokens are counted in integers, because ten tenths in floating point add
+  /// up to less than one.
   static std::int64_t inMicrotokens(double Tokens) noexcept {
     return std::llround(Tokens * static_cast<double>(OneToken));
   }
 
+  /// One token in microtokens.
   static constexpr std::int64_t OneToken = 1'000'000;
 
   Limits Limits_;
   std::int64_t Tokens_;
-  base::TimePoint Refilled_;
+  base::TimePoint LastRefill_;
 };
 
 } // namespace lychee::retrying
--- a/libs/retrying/RetryVerdict.cpp
+++ b/libs/retrying/RetryVerdict.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-struct EndRow {
+struct OutcomeRow {
   std::string_view Name_;
   Ran Ran_;
   bool Cancelled_;
 };
 
-/// In the order of SendOutcome.
-constexpr std::array<EndRow, SendEndCount> EndRows = {{
+/// Indexed by SendOutcome.
+constexpr std::array<OutcomeRow, SendOutcomeCount> OutcomeRows = {{
     {"answered", Ran::Yes, false},
     {"shed", Ran::No, false},
     {"connect-failed", Ran::No, false},
@@ -26,11 +26,11 @@
     {"cancelled", Ran::Maybe, true},
 }};
 
-const EndRow &rowOf(SendOutcome End) noexcept {
-  return EndRows[static_cast<std::size_t>(End)];
+const OutcomeRow &rowOf(SendOutcome Outcome) noexcept {
+  return OutcomeRows[static_cast<std::size_t>(Outcome)];
 }
 
-RetryRule resendRule(const EndRow &Row, const SendFacts &Facts) noexcept {
+RetryRule retryRule(const OutcomeRow &Row, const SendFacts &Facts) noexcept {
   if (Row.Ran_ == Ran::Yes)
     return RetryRule::NotNeeded;
   if (Row.Cancelled_)
@@ -46,17 +46,19 @@
 } // namespace
 
 RetryVerdict evaluateRetry(const SendFacts &Facts) noexcept {
-  const EndRow &Row = rowOf(Facts.End_);
+  const OutcomeRow &Row = rowOf(Facts.Outcome_);
   RetryVerdict Verdict;
-  // Bytes of an answer prove that the target began to work, whatever the
-  // connection did afterwards.
+  // Bytes of a response show that the target may have run the request, whatever
+  // happened to the connection afterwards.
   Verdict.Ran_ =
       Facts.AnswerStarted_ && Row.Ran_ == Ran::No ? Ran::Maybe : Row.Ran_;
-  Verdict.Retry_ = resendRule(Row, Facts);
+  Verdict.Retry_ = retryRule(Row, Facts);
   return Verdict;
 }
 
-std::string_view nameOf(SendOutcome End) noexcept { return rowOf(End).Name_; }
+std::string_view nameOf(SendOutcome Outcome) noexcept {
+  return rowOf(Outcome).Name_;
+}
 
 std::string_view nameOf(RetryRule Rule) noexcept {
   static constexpr std::array<std::string_view, 6> Names = {
--- a/libs/retrying/RetryVerdict.h
+++ b/libs/retrying/RetryVerdict.h
@@ -6,66 +6,71 @@
 
 namespace lychee::retrying {
 
-/// The point at which a send to a target ended.
+/// How a send to a target ended.
 enum class SendOutcome : std::uint8_t {
   Answered,
-  /// The target answered that it did not run the request (503 with its mark).
+  /// The target reported that it did not run the request (503 with its
+  /// marker).
   Shed,
   ConnectFailed,
-  /// The connection ended before one byte of the request was written.
+  /// The connection closed before any byte of the request was written.
   ClosedBeforeWrite,
-  /// It ended, or went silent, after the request was written in part.
+  /// The connection closed or timed out after part of the request was written.
   LostAfterPartialWrite,
-  /// It ended or went silent after the whole request, before any answer.
+  /// The connection closed or timed out after the whole request was written
+  /// and before any byte of the response.
   LostBeforeResponse,
-  /// The answer was cut short of its length.
+  /// The response ended before its declared length.
   ResponseTruncated,
-  /// The answer cannot be this request's: malformed, or sent before it.
+  /// The response cannot belong to this request: it is malformed, or was sent
+  /// before the request.
   ResponseInvalid,
-  /// The caller hung up, or its deadline passed, before one byte was written.
+  /// The caller disconnected, or its deadline passed, before any byte of the
+  /// request was written.
   CancelledBeforeWrite,
-  /// The caller hung up, or its deadline passed, after that.
+  /// The caller disconnected, or its deadline passed, after bytes of the
+  /// request were written.
   Cancelled,
 };
 
-/// Every SendOutcome, for tables and tests.
-inline constexpr std::uint8_t SendEndCount = 10;
+/// Number of values of SendOutcome, for tables and tests.
+inline constexpr std::uint8_t SendOutcomeCount = 10;
 
-/// Whether a request may have run at the target it was sent to.
+/// Whether a request ran at the target it was sent to.
 enum class Ran : std::uint8_t { No, Maybe, Yes };
 
-/// What the rules allow after a send.
+/// Whether a request may be sent again, and why.
 enum class RetryRule : std::uint8_t {
-  /// It ended as it should: nothing to send.
+  /// The send succeeded.
   NotNeeded,
-  /// It provably did not run: any request may be sent again.
+  /// The request provably did not run: any request may be sent again.
   Allowed,
-  /// It may have run, but is idempotent: a second run does no harm.
+  /// The request may have run, but is idempotent: running it twice is safe.
   AllowedAsIdempotent,
-  /// It may have run and is not idempotent.
+  /// The request may have run and is not idempotent.
   ForbiddenMayHaveRun,
-  /// Bytes of the answer have gone to the caller: a second answer cannot
-  /// follow them.
+  /// Bytes of the response were already forwarded to the caller, so that a
+  /// second response cannot follow.
   ForbiddenAnswerStarted,
-  /// No one waits for the answer any more.
+  /// The caller no longer waits for the response.
   ForbiddenCancelled,
 };
 
-/// What is known of a request when its send has ended.
+/// What is known about a send when it has ended.
 struct SendFacts {
-  SendOutcome End_ = SendOutcome::Answered;
+  SendOutcome Outcome_ = SendOutcome::Answered;
   bool Idempotent_ = false;
-  /// True where bytes of the answer have gone to the caller already.
+  /// True if bytes of the response were already forwarded to the caller.
   bool AnswerStarted_ = false;
 };
 
-/// Whether a request has run and whether it may be sent again.
+/// Whether a request ran and whether it may be sent again.
 struct RetryVerdict {
   Ran Ran_ = Ran::Maybe;
   RetryRule Retry_ = RetryRule::ForbiddenMayHaveRun;
 
-  /// \returns true where the rules allow another send. It still needs a token
-  /// of the RetryBudget, time before its deadline and another target.
+  /// \returns true if the rules allow another send. The send also needs a token
+  /// of the RetryBudget, time before its deadline, and another target.
   constexpr bool mayRetry() const noexcept {
     return Retry_ == RetryRule::Allowed ||
            Retry_ == RetryRule::AllowedAsIdempotent;
@@ -74,19 +79,21 @@
   bool operator==(const RetryVerdict &) const = default;
 };
 
-/// The truth table of sends. Pure, so that it can be tested row by row.
+/// Decides whether a request ran and whether it may be sent again. A pure
+/// function, so that its truth table can be tested row by row.
 ///
-/// Without it a refusal that says "not run" could be false, and a booking
-/// could run twice: both follow from taking "the connection failed" for "it
-/// did not run". Only three ends prove that: no connection, no byte written,
-/// and the target's own word. A request written in part counts as run, because
-/// a target may act on headers or on the first part of a body.
+/// A failed connection does not prove that the request did not run. Treating
+/// it as proof would make refusals that say "not run" false and could run a
+/// booking twice. Only three facts are proof: no connection was made, no byte
+/// was written, or the target reported that it did not run the request. A
+/// partly written request may have run, because a target may act on the headers
+/// or on the first part of a body.
 ///
 /// Thread-safe: no state.
 RetryVerdict evaluateRetry(const SendFacts &Facts) noexcept;
 
-/// \returns the name that stands in log lines.
-std::string_view nameOf(SendOutcome End) noexcept;
+/// \returns the name used in log lines.
+std::string_view nameOf(SendOutcome Outcome) noexcept;
 std::string_view nameOf(RetryRule Rule) noexcept;
 
 } // namespace lychee::retrying
--- a/tests/retrying/CrashSuspectsTest.cpp
+++ b/tests/retrying/CrashSuspectsTest.cpp
@@ -23,23 +23,23 @@
   }
 };
 
-// A request crashes each target that runs it, and its caller sends it again and
-// again. After the second target it is refused, and the third stays up. When a
-// minute has passed without another loss it may try again.
-TEST(CrashSuspects, twoTargetsLostMakeASuspectForAWhile) {
+// A request crashes each target that runs it, and its caller retries it. It is
+// suspect after the second lost target, so that a third one is spared, and no
+// longer suspect after a minute without another loss.
+TEST(CrashSuspects, twoLostTargetsMakeARequestSuspect) {
   Suspects_.recordTargetLoss(7, TargetId("a"), Now_);
   CHECK_FALSE(isSuspect(7));
   Now_ += 5s;
   Suspects_.recordTargetLoss(7, TargetId("b"), Now_);
   CHECK(isSuspect(7));
   CHECK_FALSE(isSuspect(8));
-  Now_ += CrashSuspects::EvidenceAge;
+  Now_ += CrashSuspects::EvidenceLifetime;
   CHECK_FALSE(isSuspect(7));
 }
 
-// One target restarts twice in a row with the same long request on it. That is
-// the target's fault as likely as the request's.
-TEST(CrashSuspects, theSameTargetTwiceProvesNothing) {
+// One target restarts twice with the same long request in flight. The target
+// may be the cause as well as the request.
+TEST(CrashSuspects, twoLossesOfOneTargetAreNoEvidence) {
   Suspects_.recordTargetLoss(7, TargetId("a"), Now_);
   Suspects_.recordTargetLoss(7, TargetId("a"), Now_ + 1s);
   CHECK_FALSE(isSuspect(7));
@@ -47,21 +47,21 @@
 
 TEST(CrashSuspects, lossesFarApartAreUnrelated) {
   Suspects_.recordTargetLoss(7, TargetId("a"), Now_);
-  Now_ += CrashSuspects::EvidenceAge + 1s;
+  Now_ += CrashSuspects::EvidenceLifetime + 1s;
   Suspects_.recordTargetLoss(7, TargetId("b"), Now_);
   CHECK_FALSE(isSuspect(7));
 }
 
-TEST(CrashSuspects, anAnswerClearsTheEvidence) {
+TEST(CrashSuspects, aResponseClearsTheEvidence) {
   Suspects_.recordTargetLoss(7, TargetId("a"), Now_);
   Suspects_.recordResponse(7);
   Suspects_.recordTargetLoss(7, TargetId("b"), Now_);
   CHECK_FALSE(isSuspect(7));
 }
 
-// The caller sends the crashing request through a different host each time. No
-// host sees two losses; together they have, and each comes to know.
-TEST(CrashSuspects, hostsFindItTogether) {
+// The caller sends the crashing request through a different host each time, so
+// that no host detects two losses itself. Exchanged evidence must reveal it.
+TEST(CrashSuspects, mergedEvidenceOfTwoHostsMakesARequestSuspect) {
   CrashSuspects Other;
   Suspects_.recordTargetLoss(7, TargetId("a"), Now_);
   Other.recordTargetLoss(7, TargetId("b"), Now_ + 1s);
@@ -70,29 +70,29 @@
   CHECK(isSuspect(7));
 }
 
-TEST(CrashSuspects, anyOrderOfTellingGivesTheSameVerdict) {
+TEST(CrashSuspects, evidenceInAnyOrderGivesTheSameVerdict) {
   for (std::uint64_t Seed = 0; Seed < 200; ++Seed) {
     Random Numbers(Seed);
-    std::vector<CrashEvidence> Told;
-    Told.reserve(12);
+    std::vector<CrashEvidence> Evidence;
+    Evidence.reserve(12);
     for (int Each = 0; Each < 12; ++Each)
-      Told.push_back({drawBelow(Numbers, 3), 1 + drawBelow(Numbers, 4),
-                      std::chrono::seconds(drawBelow(Numbers, 70))});
+      Evidence.push_back({drawBelow(Numbers, 3), 1 + drawBelow(Numbers, 4),
+                          std::chrono::seconds(drawBelow(Numbers, 70))});
     CrashSuspects One;
     CrashSuspects Two;
-    One.merge(Told, Now_);
-    std::shuffle(Told.begin(), Told.end(), Numbers);
-    Two.merge(Told, Now_);
-    Two.merge(Told, Now_); // twice does no harm
+    One.merge(Evidence, Now_);
+    std::shuffle(Evidence.begin(), Evidence.end(), Numbers);
+    Two.merge(Evidence, Now_);
+    Two.merge(Evidence, Now_); // duplicates have no effect
     for (std::uint64_t Fingerprint = 0; Fingerprint < 3; ++Fingerprint)
       CHECK(One.suspectUntil(Fingerprint, Now_) ==
             Two.suspectUntil(Fingerprint, Now_));
   }
 }
 
-// Guards against an outage whose losses fill the datagrams that hosts tell each
-// other, so that a request that crashes targets is not told.
-TEST(CrashSuspects, whatIsToldIsBoundedAndSuspectsComeFirst) {
+// The losses of an outage must not fill the datagrams between hosts, or the
+// evidence of a request that crashes targets would not be announced.
+TEST(CrashSuspects, announcedEvidenceIsBoundedAndSuspectsComeFirst) {
   const TargetId First("first");
   const TargetId Second("second");
   Suspects_.recordTargetLoss(1, First, Now_);
@@ -100,21 +100,21 @@
   for (std::uint64_t Fingerprint = 2; Fingerprint < 400; ++Fingerprint)
     Suspects_.recordTargetLoss(Fingerprint, First, Now_ + 100ms);
   Suspects_.recordTargetLoss(400, Second, Now_ + 200ms);
-  const auto Told = Suspects_.evidence(Now_ + 200ms);
-  LONGS_EQUAL(CrashSuspects::MostTold, Told.size());
-  LONGS_EQUAL(1, Told[0].Fingerprint_);
-  LONGS_EQUAL(1, Told[1].Fingerprint_);
-  LONGS_EQUAL(400, Told[2].Fingerprint_);
+  const auto Announced = Suspects_.evidence(Now_ + 200ms);
+  LONGS_EQUAL(CrashSuspects::MaxAnnounced, Announced.size());
+  LONGS_EQUAL(1, Announced[0].Fingerprint_);
+  LONGS_EQUAL(1, Announced[1].Fingerprint_);
+  LONGS_EQUAL(400, Announced[2].Fingerprint_);
 }
 
-// An outage loses thousands of different requests. What is kept stays bounded,
-// and a suspect found after it is still found.
-TEST(CrashSuspects, aFloodOfLossesIsBounded) {
+// An outage causes losses of thousands of different requests. The kept evidence
+// stays bounded, and a request that becomes suspect afterwards is detected.
+TEST(CrashSuspects, thousandsOfLossesStayBounded) {
   for (std::uint64_t Each = 100; Each < 50100; ++Each)
     Suspects_.recordTargetLoss(Each, TargetId("a"), Now_);
   Now_ += 1s;
   Suspects_.recordTargetLoss(7, TargetId("a"), Now_);
   Suspects_.recordTargetLoss(7, TargetId("b"), Now_);
   CHECK(isSuspect(7));
-  CHECK(Suspects_.evidence(Now_).size() <= CrashSuspects::MostFingerprints + 1);
+  CHECK(Suspects_.evidence(Now_).size() <= CrashSuspects::MaxFingerprints + 1);
 }
--- a/tests/retrying/RetryBudgetTest.cpp
+++ b/tests/retrying/RetryBudgetTest.cpp
@@ -1,14 +1,14 @@
 #include "retrying/RetryBudget.h"
-#include "retrying/HedgeRule.h"
+#include "retrying/HedgingPolicy.h"
 
 #include <string>
 
 #include "CppUTest/TestHarness.h"
 
 using lychee::base::TimePoint;
-using lychee::retrying::HedgeRule;
-using lychee::retrying::HedgeVerdict;
-using lychee::retrying::OpenSend;
+using lychee::retrying::HedgeDecision;
+using lychee::retrying::HedgingPolicy;
+using lychee::retrying::PendingSend;
 using lychee::retrying::RetryBudget;
 using namespace std::chrono_literals;
 
@@ -24,33 +24,33 @@
   }
 };
 
-// Every target fails for a minute, and 100 requests a second would each be sent
-// again. The targets would see twice the load just when they fail. Only what
-// was saved up and one second send a second go out.
-TEST(RetryBudget, inAnOutageSecondSendsFade) {
-  int Resent = 0;
+// Every target fails for a minute, at 100 requests a second. Retrying each
+// request would double the load of the targets while they fail. Only the saved
+// tokens and one retry a second may be spent.
+TEST(RetryBudget, retriesFadeInAnOutage) {
+  int Retries = 0;
   for (int Request = 0; Request < 6000; ++Request) {
     Now_ += 10ms;
-    Resent += Budget_.spend(Now_) ? 1 : 0;
+    Retries += Budget_.spend(Now_) ? 1 : 0;
   }
-  CHECK(Resent <= 10 + 61);
+  CHECK(Retries <= 10 + 61);
 }
 
-TEST(RetryBudget, secondSendsAreAFractionOfSuccesses) {
+TEST(RetryBudget, retriesAreAFractionOfSuccesses) {
   spendAll();
   for (int Each = 0; Each < 50; ++Each)
     Budget_.recordSuccess();
   LONGS_EQUAL(5, spendAll());
 }
 
-TEST(RetryBudget, quietTimeDoesNotSaveUpMoreThanTheMost) {
+TEST(RetryBudget, idleTimeSavesNoMoreThanTheMaximum) {
   Now_ += 24h;
   LONGS_EQUAL(10, spendAll());
 }
 
-// One target's budget is used up while the host's is not. Taking the host's
-// token all the same would starve the retries of the other targets.
-TEST(RetryBudget, bothArePaidOrNeither) {
+// One target's budget is exhausted and the host's is not. Taking the host's
+// token nevertheless would leave none for retries to other targets.
+TEST(RetryBudget, spendBothTakesFromBothOrNeither) {
   RetryBudget Target;
   while (Target.spend(Now_))
     ;
@@ -58,56 +58,57 @@
   LONGS_EQUAL(10, spendAll());
 }
 
-TEST_GROUP(HedgeRule) {
-  OpenSend Send_;
+TEST_GROUP(HedgingPolicy) {
+  PendingSend Send_;
 
   void setup() override {
     Send_.Idempotent_ = true;
     Send_.ReusedConnection_ = true;
     Send_.Started_ = TimePoint(100s);
     Send_.Deadline_ = TimePoint(102s);
-    Send_.OrdinaryWork_ = 20ms;
+    Send_.MeanExecutionTime_ = 20ms;
   }
 
-  void expect(HedgeVerdict::Action Action, const char *Reason,
+  void expect(HedgeDecision::Action Action, const char *Reason,
               std::chrono::milliseconds After) const {
-    const HedgeVerdict Found = HedgeRule::decide(Send_, Send_.Started_ + After);
+    const HedgeDecision Found =
+        HedgingPolicy::decide(Send_, Send_.Started_ + After);
     CHECK(Action == Found.Action_);
     STRCMP_EQUAL(Reason, std::string(Found.Reason_).c_str());
   }
 };
 
-// A connection was lost track of between the two ends. Nothing will ever come
-// over it; the request would wait until its deadline. After four times ordinary
-// work it goes out a second time, on a new connection.
-TEST(HedgeRule, aSilentReusedConnectionIsHedged) {
-  expect(HedgeVerdict::Action::Wait, "not-yet-silent", 79ms);
-  expect(HedgeVerdict::Action::SendSecond, "silent", 80ms);
+// A middlebox dropped the connection's state, so that nothing will be received
+// on it and the request would wait until its deadline. After four times the
+// mean execution time the request is hedged on a new connection.
+TEST(HedgingPolicy, aSilentReusedConnectionIsHedged) {
+  expect(HedgeDecision::Action::Wait, "not-yet-silent", 79ms);
+  expect(HedgeDecision::Action::SendHedge, "silent", 80ms);
 }
 
-TEST(HedgeRule, aNewConnectionGetsTwiceTheTime) {
+TEST(HedgingPolicy, aNewConnectionGetsTwiceTheTime) {
   Send_.ReusedConnection_ = false;
-  expect(HedgeVerdict::Action::Wait, "not-yet-silent", 159ms);
-  expect(HedgeVerdict::Action::SendSecond, "silent", 160ms);
+  expect(HedgeDecision::Action::Wait, "not-yet-silent", 159ms);
+  expect(HedgeDecision::Action::SendHedge, "silent", 160ms);
 }
 
-TEST(HedgeRule, whatIsNotIdempotentIsNeverSentTwice) {
+TEST(HedgingPolicy, aRequestThatIsNotIdempotentIsNeverHedged) {
   Send_.Idempotent_ = false;
-  expect(HedgeVerdict::Action::Never, "not-idempotent", 500ms);
+  expect(HedgeDecision::Action::Never, "not-idempotent", 500ms);
 }
 
-TEST(HedgeRule, thereIsAtMostOneSecondSend) {
-  Send_.HedgedBefore_ = true;
-  expect(HedgeVerdict::Action::Never, "hedged-before", 500ms);
+TEST(HedgingPolicy, thereIsAtMostOneHedge) {
+  Send_.AlreadyHedged_ = true;
+  expect(HedgeDecision::Action::Never, "hedged-before", 500ms);
 }
 
-TEST(HedgeRule, anAnswerThatHasBegunIsNotHedged) {
-  Send_.AnswerBegun_ = true;
-  expect(HedgeVerdict::Action::Never, "answer-begun", 500ms);
+TEST(HedgingPolicy, noHedgeAfterTheResponseHasStarted) {
+  Send_.ResponseStarted_ = true;
+  expect(HedgeDecision::Action::Never, "answer-begun", 500ms);
 }
 
-TEST(HedgeRule, withoutTimeForASecondRunThereIsNone) {
-  expect(HedgeVerdict::Action::Never, "no-time-left", 1990ms);
+TEST(HedgingPolicy, noHedgeWithoutTimeForASecondRun) {
+  expect(HedgeDecision::Action::Never, "no-time-left", 1990ms);
   Send_.Deadline_ = Send_.Started_ + 90ms;
-  expect(HedgeVerdict::Action::Never, "no-time-left", 1ms);
+  expect(HedgeDecision::Action::Never, "no-time-left", 1ms);
 }
--- a/tests/retrying/SendVerdictTest.cpp
+++ b/tests/retrying/RetryVerdictTest.cpp
@@ -10,21 +10,21 @@
 using lychee::retrying::Ran;
 using lychee::retrying::RetryRule;
 using lychee::retrying::RetryVerdict;
-using lychee::retrying::SendEndCount;
 using lychee::retrying::SendFacts;
 using lychee::retrying::SendOutcome;
+using lychee::retrying::SendOutcomeCount;
 
 namespace {
 
-/// One row of the truth table, for both kinds of requests.
+/// One row of the truth table, for idempotent and other requests.
 struct Row {
-  SendOutcome End_;
+  SendOutcome Outcome_;
   Ran Ran_;
   RetryRule Idempotent_;
   RetryRule NotIdempotent_;
 };
 
-constexpr std::array<Row, SendEndCount> Rows = {{
+constexpr std::array<Row, SendOutcomeCount> Rows = {{
     {SendOutcome::Answered, Ran::Yes, RetryRule::NotNeeded,
      RetryRule::NotNeeded},
     {SendOutcome::Shed, Ran::No, RetryRule::Allowed, RetryRule::Allowed},
@@ -48,7 +48,7 @@
 
 void checkVerdict(const SendFacts &Facts, const RetryVerdict &Expected) {
   const RetryVerdict Found = evaluateRetry(Facts);
-  const std::string Row = std::string(nameOf(Facts.End_)) +
+  const std::string Row = std::string(nameOf(Facts.Outcome_)) +
                           (Facts.Idempotent_ ? " idempotent" : "") +
                           (Facts.AnswerStarted_ ? " started" : "");
   CHECK_TEXT(Found.Ran_ == Expected.Ran_, Row.c_str());
@@ -60,30 +60,33 @@
 
 TEST_GROUP(RetryVerdict){};
 
-TEST(RetryVerdict, everyEndOfASendWithoutAnswerBytes) {
-  for (std::uint8_t Index = 0; Index < SendEndCount; ++Index) {
+TEST(RetryVerdict, everyOutcomeWithoutResponseBytes) {
+  for (std::uint8_t Index = 0; Index < SendOutcomeCount; ++Index) {
     const Row &Each = Rows[Index];
-    CHECK(static_cast<SendOutcome>(Index) == Each.End_);
-    checkVerdict({Each.End_, true, false}, {Each.Ran_, Each.Idempotent_});
-    checkVerdict({Each.End_, false, false}, {Each.Ran_, Each.NotIdempotent_});
+    CHECK(static_cast<SendOutcome>(Index) == Each.Outcome_);
+    checkVerdict({Each.Outcome_, true, false}, {Each.Ran_, Each.Idempotent_});
+    checkVerdict({Each.Outcome_, false, false},
+                 {Each.Ran_, Each.NotIdempotent_});
   }
 }
 
-// The first bytes of an answer have gone to the caller when the send ends.
-// A second send would put a second answer behind the first part of the first.
-// So none is made, for idempotent requests either, and "not run" is never said.
-TEST(RetryVerdict, nothingIsSentAgainOnceTheAnswerHasStarted) {
+// The send ends after bytes of the response were forwarded to the caller. A
+// retry would append a second response to the first part of the first one, so
+// none is allowed, even for idempotent requests, and the request never counts
+// as not run.
+TEST(RetryVerdict, noRetryAfterTheResponseHasStarted) {
   for (const Row &Each : Rows)
     for (const bool Idempotent : {true, false}) {
-      const RetryVerdict Found = evaluateRetry({Each.End_, Idempotent, true});
+      const RetryVerdict Found =
+          evaluateRetry({Each.Outcome_, Idempotent, true});
       CHECK_FALSE(Found.mayRetry());
       CHECK(Found.Ran_ != Ran::No);
     }
 }
 
-TEST(RetryVerdict, aRequestThatMayHaveRunIsSentAgainOnlyIfIdempotent) {
+TEST(RetryVerdict, aRequestThatMayHaveRunIsRetriedOnlyIfIdempotent) {
   for (const Row &Each : Rows) {
-    const RetryVerdict Found = evaluateRetry({Each.End_, false, false});
+    const RetryVerdict Found = evaluateRetry({Each.Outcome_, false, false});
     CHECK(!Found.mayRetry() || Found.Ran_ == Ran::No);
   }
 }
