--- a/libs/admission/FairQueue.cpp
+++ b/libs/admission/FairQueue.cpp
@@ -5,32 +5,33 @@
 
 namespace lychee::admission {
 
-CustomerIndex FairQueue::enrol(const base::CustomerId &Customer,
-                               std::uint32_t Weight) {
-  const auto [QueuePosition, Fresh] = IndexOf_.try_emplace(
+CustomerIndex FairQueue::registerCustomer(const base::CustomerId &Customer,
+                                          std::uint32_t Weight) {
+  const auto [Entry, IsNew] = IndexOf_.try_emplace(
       Customer, static_cast<CustomerIndex>(Customers_.size()));
-  if (Fresh) {
+  if (IsNew) {
     Customers_.emplace_back();
     CustomerEntries_.emplace_back();
   }
-  CustomerEntries_[QueuePosition->second].Weight_ = std::max(1U, Weight);
-  return QueuePosition->second;
+  CustomerEntries_[Entry->second].Weight_ = std::max(1U, Weight);
+  return Entry->second;
 }
 
 QueuePosition FairQueue::push(const QueuedRequest &Request) {
-  assert(Request.Customer_ < Customers_.size() && "enrol the customer first");
+  assert(Request.Customer_ < Customers_.size() &&
+         "register the customer first");
   const std::uint32_t FlowIndex = flowOf(Request.Customer_, Request.Caller_);
-  CustomerLine &Owner = Customers_[Request.Customer_];
-  Flow &Line = Flows_[FlowIndex];
-  if (Owner.Size_ == 0) {
-    Ring_.join(CustomerEntries_, Request.Customer_);
+  CustomerQueue &Queue = Customers_[Request.Customer_];
+  Flow &CallerFlow = Flows_[FlowIndex];
+  if (Queue.Size_ == 0) {
+    Scheduler_.join(CustomerEntries_, Request.Customer_);
   }
-  if (Line.First_ == None)
-    Owner.Callers_.join(FlowEntries_, FlowIndex);
-  const std::uint32_t Index = takeNode(Request, FlowIndex);
-  Line.Work_ += Request.Work_;
-  Owner.Work_ += Request.Work_;
-  ++Owner.Size_;
+  if (CallerFlow.First_ == None)
+    Queue.Callers_.join(FlowEntries_, FlowIndex);
+  const std::uint32_t Index = allocateNode(Request, FlowIndex);
+  CallerFlow.Work_ += Request.Work_;
+  Queue.Work_ += Request.Work_;
+  ++Queue.Size_;
   ++Size_;
   return {Index, Nodes_[Index].Generation_};
 }
@@ -39,62 +40,64 @@
 FairQueue::pop(const std::function<bool(CustomerIndex)> &NewestFirst) {
   if (Size_ == 0)
     return std::nullopt;
-  const CustomerIndex Chosen = Ring_.turn(CustomerEntries_, false);
-  CustomerLine &Owner = Customers_[Chosen];
+  const CustomerIndex Chosen = Scheduler_.selectNext(CustomerEntries_, false);
+  CustomerQueue &Queue = Customers_[Chosen];
   const bool Newest = NewestFirst(Chosen);
-  const std::uint32_t FlowIndex = Owner.Callers_.turn(FlowEntries_, Newest);
-  const Flow &Line = Flows_[FlowIndex];
-  const std::uint32_t NodeIndex = Newest ? Line.Last_ : Line.First_;
+  const std::uint32_t FlowIndex =
+      Queue.Callers_.selectNext(FlowEntries_, Newest);
+  const Flow &CallerFlow = Flows_[FlowIndex];
+  const std::uint32_t NodeIndex = Newest ? CallerFlow.Last_ : CallerFlow.First_;
   const QueuedRequest Request = Nodes_[NodeIndex].Request_;
-  Ring_.charge(CustomerEntries_[Chosen], Request.Work_);
-  Owner.Callers_.charge(FlowEntries_[FlowIndex], Request.Work_);
+  Scheduler_.charge(CustomerEntries_[Chosen], Request.Work_);
+  Queue.Callers_.charge(FlowEntries_[FlowIndex], Request.Work_);
   unlink(NodeIndex);
-  if (Owner.Size_ > 0)
-    Ring_.rotate(CustomerEntries_, Chosen);
+  if (Queue.Size_ > 0)
+    Scheduler_.rotate(CustomerEntries_, Chosen);
   return Request;
 }
 
-void FairQueue::settle(CustomerIndex Customer, std::uint64_t Caller,
-                       base::Duration Expected, base::Duration Took) noexcept {
+void FairQueue::adjustCharge(CustomerIndex Customer, std::uint64_t Caller,
+                             base::Duration Expected,
+                             base::Duration Took) noexcept {
   const base::Duration Difference = Took - Expected;
-  Ring_.charge(CustomerEntries_[Customer], Difference);
-  CustomerLine &Owner = Customers_[Customer];
-  const auto Known = Owner.FlowOf_.find(Caller);
-  if (Known != Owner.FlowOf_.end())
-    Owner.Callers_.charge(FlowEntries_[Known->second], Difference);
+  Scheduler_.charge(CustomerEntries_[Customer], Difference);
+  CustomerQueue &Queue = Customers_[Customer];
+  const auto Known = Queue.FlowByCaller_.find(Caller);
+  if (Known != Queue.FlowByCaller_.end())
+    Queue.Callers_.charge(FlowEntries_[Known->second], Difference);
 }
 
-std::optional<QueuedRequest> FairQueue::remove(QueuePosition Where) {
-  if (Where.Index_ >= Nodes_.size())
+std::optional<QueuedRequest> FairQueue::remove(QueuePosition Position) {
+  if (Position.Index_ >= Nodes_.size())
     return std::nullopt;
-  const Node &Found = Nodes_[Where.Index_];
-  if (Found.Generation_ != Where.Generation_ || Found.Flow_ == None)
+  const Node &Found = Nodes_[Position.Index_];
+  if (Found.Generation_ != Position.Generation_ || Found.Flow_ == None)
     return std::nullopt;
-  return unlink(Where.Index_);
+  return unlink(Position.Index_);
 }
 
 void FairQueue::removeIf(
-    const std::function<bool(const QueuedRequest &)> &Leaves,
-    std::vector<QueuedRequest> &Left) {
+    const std::function<bool(const QueuedRequest &)> &ShouldRemove,
+    std::vector<QueuedRequest> &Removed) {
   if (Size_ == 0)
     return;
   for (std::uint32_t Index = 0; Index < Nodes_.size(); ++Index) {
-    if (Nodes_[Index].Flow_ == None || !Leaves(Nodes_[Index].Request_))
+    if (Nodes_[Index].Flow_ == None || !ShouldRemove(Nodes_[Index].Request_))
       continue;
-    Left.push_back(unlink(Index));
+    Removed.push_back(unlink(Index));
   }
 }
 
 base::Duration FairQueue::workAhead(CustomerIndex Customer,
                                     std::uint64_t Caller) const {
-  // Each other caller is served as much as this one.
-  const CustomerLine &Own = Customers_[Customer];
-  base::Duration Mine{};
-  const auto Known = Own.FlowOf_.find(Caller);
-  if (Known != Own.FlowOf_.end())
-    Mine = Flows_[Known->second].Work_;
-  const base::Duration Turn = Mine + DeficitRing::Quantum;
-  return std::min(Own.Work_, Turn * std::max(1U, Own.Callers_.count()));
+  // While this caller is served, each other caller gets the same slot time.
+  const CustomerQueue &Queue = Customers_[Customer];
+  base::Duration OwnWork{};
+  const auto Known = Queue.FlowByCaller_.find(Caller);
+  if (Known != Queue.FlowByCaller_.end())
+    OwnWork = Flows_[Known->second].Work_;
+  const base::Duration Turn = OwnWork + DeficitRoundRobin::Quantum;
+  return std::min(Queue.Work_, Turn * std::max(1U, Queue.Callers_.count()));
 }
 
 std::size_t FairQueue::sizeOf(CustomerIndex Customer) const noexcept {
@@ -102,14 +105,14 @@
 }
 
 std::uint32_t FairQueue::flowOf(CustomerIndex Customer, std::uint64_t Caller) {
-  CustomerLine &Owner = Customers_[Customer];
-  const auto Known = Owner.FlowOf_.find(Caller);
-  if (Known != Owner.FlowOf_.end())
+  CustomerQueue &Queue = Customers_[Customer];
+  const auto Known = Queue.FlowByCaller_.find(Caller);
+  if (Known != Queue.FlowByCaller_.end())
     return Known->second;
-  // Callers that no longer wait are kept for their debts only.
-  static constexpr std::size_t MostIdleCallers = 4096;
-  if (Owner.FlowOf_.size() >= Owner.Callers_.count() + MostIdleCallers)
-    dropFlows(Owner);
+  // Callers without queued requests are kept only for their debts.
+  static constexpr std::size_t MaxIdleCallers = 4096;
+  if (Queue.FlowByCaller_.size() >= Queue.Callers_.count() + MaxIdleCallers)
+    releaseIdleFlows(Queue);
   std::uint32_t Index = 0;
   if (FreeFlows_.empty()) {
     Index = static_cast<std::uint32_t>(Flows_.size());
@@ -121,12 +124,12 @@
   }
   Flows_[Index] = {Caller, Customer, None, None, {}};
   FlowEntries_[Index] = {};
-  Owner.FlowOf_.emplace(Caller, Index);
+  Queue.FlowByCaller_.emplace(Caller, Index);
   return Index;
 }
 
-std::uint32_t FairQueue::takeNode(const QueuedRequest &Request,
-                                  std::uint32_t FlowIndex) {
+std::uint32_t FairQueue::allocateNode(const QueuedRequest &Request,
+                                      std::uint32_t FlowIndex) {
   std::uint32_t Index = 0;
   if (FreeNodes_.empty()) {
     Index = static_cast<std::uint32_t>(Nodes_.size());
@@ -135,22 +138,22 @@
     Index = FreeNodes_.back();
     FreeNodes_.pop_back();
   }
-  Node &Fresh = Nodes_[Index];
-  Flow &Line = Flows_[FlowIndex];
-  Fresh.Request_ = Request;
-  Fresh.Flow_ = FlowIndex;
-  Fresh.Previous_ = Line.Last_;
-  Fresh.Next_ = None;
-  if (Line.Last_ == None)
-    Line.First_ = Index;
+  Node &Added = Nodes_[Index];
+  Flow &CallerFlow = Flows_[FlowIndex];
+  Added.Request_ = Request;
+  Added.Flow_ = FlowIndex;
+  Added.Previous_ = CallerFlow.Last_;
+  Added.Next_ = None;
+  if (CallerFlow.Last_ == None)
+    CallerFlow.First_ = Index;
   else
-    Nodes_[Line.Last_].Next_ = Index;
-  Line.Last_ = Index;
+    Nodes_[CallerFlow.Last_].Next_ = Index;
+  CallerFlow.Last_ = Index;
   return Index;
 }
 
-void FairQueue::dropFlows(CustomerLine &Idle) {
-  std::erase_if(Idle.FlowOf_, [this](const auto &Each) {
+void FairQueue::releaseIdleFlows(CustomerQueue &Queue) {
+  std::erase_if(Queue.FlowByCaller_, [this](const auto &Each) {
     if (Flows_[Each.second].First_ != None)
       return false;
     FreeFlows_.push_back(Each.second);
@@ -159,29 +162,29 @@
 }
 
 QueuedRequest FairQueue::unlink(std::uint32_t NodeIndex) {
-  Node &Leaving = Nodes_[NodeIndex];
-  Flow &Line = Flows_[Leaving.Flow_];
-  CustomerLine &Owner = Customers_[Line.Customer_];
-  if (Leaving.Previous_ == None)
-    Line.First_ = Leaving.Next_;
+  Node &Removed = Nodes_[NodeIndex];
+  Flow &CallerFlow = Flows_[Removed.Flow_];
+  CustomerQueue &Queue = Customers_[CallerFlow.Customer_];
+  if (Removed.Previous_ == None)
+    CallerFlow.First_ = Removed.Next_;
   else
-    Nodes_[Leaving.Previous_].Next_ = Leaving.Next_;
-  if (Leaving.Next_ == None)
-    Line.Last_ = Leaving.Previous_;
+    Nodes_[Removed.Previous_].Next_ = Removed.Next_;
+  if (Removed.Next_ == None)
+    CallerFlow.Last_ = Removed.Previous_;
   else
-    Nodes_[Leaving.Next_].Previous_ = Leaving.Previous_;
-  Line.Work_ -= Leaving.Request_.Work_;
-  Owner.Work_ -= Leaving.Request_.Work_;
-  --Owner.Size_;
+    Nodes_[Removed.Next_].Previous_ = Removed.Previous_;
+  CallerFlow.Work_ -= Removed.Request_.Work_;
+  Queue.Work_ -= Removed.Request_.Work_;
+  --Queue.Size_;
   --Size_;
-  if (Line.First_ == None)
-    Owner.Callers_.leave(FlowEntries_, Leaving.Flow_);
-  if (Owner.Size_ == 0)
-    Ring_.leave(CustomerEntries_, Line.Customer_);
-  Leaving.Flow_ = None;
-  ++Leaving.Generation_;
+  if (CallerFlow.First_ == None)
+    Queue.Callers_.leave(FlowEntries_, Removed.Flow_);
+  if (Queue.Size_ == 0)
+    Scheduler_.leave(CustomerEntries_, CallerFlow.Customer_);
+  Removed.Flow_ = None;
+  ++Removed.Generation_;
   FreeNodes_.push_back(NodeIndex);
-  return Leaving.Request_;
+  return Removed.Request_;
 }
 
 } // namespace lychee::admission
--- a/libs/admission/QueuedRequest.h
+++ b/libs/admission/QueuedRequest.h
@@ -7,23 +7,23 @@
 
 namespace lychee::admission {
 
-/// A customer as a queue numbers it. \see FairQueue::enrol
+/// The number of a customer in a queue. \see FairQueue::registerCustomer
 using CustomerIndex = std::uint32_t;
 
-/// A request that waits for room.
+/// A request that waits for a free slot.
 struct QueuedRequest {
-  /// Names the request to its owner.
+  /// Identifies the request to its owner.
   std::uint64_t Ticket_ = 0;
   CustomerIndex Customer_ = 0;
-  /// Hash of caller and key: who within the customer asks.
+  /// Hash of caller and key: identifies the caller within the customer.
   std::uint64_t Caller_ = 0;
   base::TimePoint Arrived_;
   base::TimePoint Deadline_;
-  /// Slot time it is expected to take.
+  /// Expected slot time.
   base::Duration Work_{};
 };
 
-/// Where a waiting request stands, to give it up early.
+/// Position of a queued request, for removing it early.
 struct QueuePosition {
   std::uint32_t Index_ = UINT32_MAX;
   std::uint32_t Generation_ = 0;
--- a/libs/admission/UsageMeter.h
+++ b/libs/admission/UsageMeter.h
@@ -7,30 +7,31 @@
 
 namespace lychee::admission {
 
-/// Slots in use of late: slot time that ended in the last second or so, the
-/// older counting less. Where a line stands, it tells how fast the line moves.
+/// Measures the number of slots recently in use: the slot time of requests that
+/// ended within about the last second, with exponential decay. While requests
+/// are queued it shows how fast the queue drains.
 ///
 /// Not thread-safe: part of its owner.
 class UsageMeter {
 public:
-  /// Long enough for some tens of requests of 20 ms, short enough to follow a
-  /// burst while it lasts.
-  static constexpr base::Duration Memory = std::chrono::seconds(1);
+  /// Time constant of the decay. Long enough for some tens of requests of 20
+  /// ms, short enough to follow a burst while it lasts.
+  static constexpr base::Duration TimeConstant = std::chrono::seconds(1);
 
   void add(base::Duration Took, base::TimePoint Now) noexcept {
-    Time_ = slots(Now) + base::toSeconds(Took) / base::toSeconds(Memory);
+    Slots_ = slots(Now) + base::toSeconds(Took) / base::toSeconds(TimeConstant);
     At_ = Now;
   }
 
   double slots(base::TimePoint Now) const noexcept {
     if (Now <= At_)
-      return Time_;
-    return Time_ *
-           std::exp(-base::toSeconds(Now - At_) / base::toSeconds(Memory));
+      return Slots_;
+    return Slots_ * std::exp(-base::toSeconds(Now - At_) /
+                             base::toSeconds(TimeConstant));
   }
 
 private:
-  double Time_ = 0;
+  double Slots_ = 0;
   base::TimePoint At_;
 };
 
--- a/libs/admission/WorkEstimate.h
+++ b/libs/admission/WorkEstimate.h
@@ -7,26 +7,27 @@
 
 namespace lychee::admission {
 
-/// The mean slot time of a service's requests, as measured of late.
+/// The mean of the recently measured slot times of a service's requests.
 ///
 /// Not thread-safe: part of its owner.
 class WorkEstimate {
 public:
-  explicit WorkEstimate(base::Duration First) noexcept : Mean_(First) {}
+  explicit WorkEstimate(base::Duration Initial) noexcept : Mean_(Initial) {}
 
-  /// One sample moves the mean by 1/64: work of very different length comes
-  /// mixed, and a mean that follows the last few would refuse for one long one.
+  /// Adds a sample with weight 1/64. Requests of very different length are
+  /// mixed, and a mean that followed the last few would cause refusals after a
+  /// single long one.
   void add(base::Duration Took) noexcept {
     static constexpr int Samples = 64;
     Mean_ += (Took - Mean_) / Samples;
-    Mean_ = std::max(Mean_, Shortest);
+    Mean_ = std::max(Mean_, MinMean);
   }
 
   base::Duration mean() const noexcept { return Mean_; }
 
 private:
-  /// Keeps divisions by the mean defined.
-  static constexpr base::Duration Shortest = std::chrono::microseconds(1);
+  /// Prevents a division by zero.
+  static constexpr base::Duration MinMean = std::chrono::microseconds(1);
 
   base::Duration Mean_;
 };
--- a/tests/admission/FairQueueTest.cpp
+++ b/tests/admission/FairQueueTest.cpp
@@ -27,7 +27,7 @@
   std::uint64_t LastTicket_ = 0;
 
   CustomerIndex customer(const char *Name, std::uint32_t Weight = 1) {
-    return Queue_.enrol(CustomerId(Name), Weight);
+    return Queue_.registerCustomer(CustomerId(Name), Weight);
   }
 
   QueuePosition push(CustomerIndex Customer, std::uint64_t Caller = 1) {
@@ -44,12 +44,12 @@
       push(Customer, Caller);
   }
 
-  /// \returns whose turn it is; ticket 0 where the queue is empty.
+  /// \returns the next request; ticket 0 if the queue is empty.
   QueuedRequest pop(bool (*Order)(CustomerIndex) = oldestFirst) {
     return Queue_.pop(Order).value_or(QueuedRequest());
   }
 
-  /// Serves \p Count requests, each of which takes \p Took of its customer.
+  /// Serves \p Count requests, each of which takes its customer's \p Took.
   std::map<CustomerIndex, int> serve(
       int Count, const std::map<CustomerIndex, Duration> &Took = {}) {
     std::map<CustomerIndex, int> Served;
@@ -58,32 +58,32 @@
       ++Served[Chosen.Customer_];
       const auto Known = Took.find(Chosen.Customer_);
       if (Known != Took.end())
-        Queue_.settle(Chosen.Customer_, Chosen.Caller_, Chosen.Work_,
-                      Known->second);
+        Queue_.adjustCharge(Chosen.Customer_, Chosen.Caller_, Chosen.Work_,
+                            Known->second);
     }
     return Served;
   }
 };
 
-TEST(FairQueue, anEmptyQueueGivesNothing) {
+TEST(FairQueue, popOfAnEmptyQueueReturnsNothing) {
   CHECK_FALSE(Queue_.pop(oldestFirst).has_value());
 }
 
-TEST(FairQueue, oneCallersRequestsKeepTheirOrder) {
+TEST(FairQueue, requestsOfOneCallerKeepTheirOrder) {
   const CustomerIndex Only = customer("one");
   pushMany(Only, 3);
   for (std::uint64_t Ticket = 1; Ticket <= 3; ++Ticket)
     UNSIGNED_LONGS_EQUAL(Ticket, pop().Ticket_);
 }
 
-TEST(FairQueue, newestFirstTurnsTheOrderRound) {
+TEST(FairQueue, newestFirstReversesTheOrder) {
   const CustomerIndex Only = customer("one");
   pushMany(Only, 3);
   UNSIGNED_LONGS_EQUAL(3, pop(newestFirst).Ticket_);
 }
 
-// One customer has put 1,000 requests in line when another sends its first.
-// In one common line that one would wait behind all of them. Here it is next.
+// One customer has 1,000 queued requests when another sends its first one. In a
+// single queue it would wait behind all of them; here it is served next.
 TEST(FairQueue, aQuietCustomerDoesNotWaitBehindAHeavyOne) {
   const CustomerIndex Heavy = customer("heavy");
   const CustomerIndex Quiet = customer("quiet");
@@ -102,10 +102,11 @@
   CHECK(Served.at(One) >= 195 && Served.at(One) <= 205);
 }
 
-// Two customers send as many requests, but one's take a hundred times as long.
-// Counted by requests, it would get 99% of the slot time. Charged by time, its
-// requests come up a hundred times less often while both wait.
-TEST(FairQueue, longWorkIsChargedByItsTimeAndNotByItsCount) {
+// Two customers send equally many requests, but those of one take a hundred
+// times as long. Counted by requests, it would get 99% of the slot time.
+// Charged by time, its requests are served a hundred times less often while
+// both wait.
+TEST(FairQueue, longRequestsAreChargedByTimeAndNotByCount) {
   const CustomerIndex Long = customer("long");
   const CustomerIndex Short = customer("short");
   pushMany(Long, 2000);
@@ -115,7 +116,7 @@
 }
 
 // One caller of a customer sends most of its requests. The customer's other
-// callers would wait behind it; here each caller gets the same slot time.
+// callers must not wait behind it: each caller gets the same slot time.
 TEST(FairQueue, callersOfOneCustomerAreServedEqually) {
   const CustomerIndex Only = customer("one");
   pushMany(Only, 1000, 7);
@@ -128,34 +129,35 @@
   CHECK(FromHeavy <= 2);
 }
 
-// A customer uses its turn, leaves the line, and comes back at once, again and
-// again. Were each return a first request, it would always go before those that
-// stay in line. Its debt stays until the rounds have paid it.
-TEST(FairQueue, leavingAndComingBackDoesNotWashOffADebt) {
+// A customer is served, has no queued request, and immediately queues the next
+// one, repeatedly. If each of them counted as a first request, it would always
+// be served before a customer that stays queued. Its debt must remain until the
+// rounds have paid it off.
+TEST(FairQueue, leavingAndRejoiningDoesNotClearADebt) {
   const CustomerIndex Steady = customer("steady");
-  const CustomerIndex Flicker = customer("flicker");
+  const CustomerIndex Rejoining = customer("rejoining");
   pushMany(Steady, 1000);
-  int FromFlicker = 0;
+  int FromRejoining = 0;
   for (int Each = 0; Each < 200; ++Each) {
-    if (Queue_.sizeOf(Flicker) == 0)
-      push(Flicker);
-    if (pop().Customer_ == Flicker)
-      ++FromFlicker;
+    if (Queue_.sizeOf(Rejoining) == 0)
+      push(Rejoining);
+    if (pop().Customer_ == Rejoining)
+      ++FromRejoining;
   }
-  CHECK(FromFlicker >= 95 && FromFlicker <= 105);
+  CHECK(FromRejoining >= 95 && FromRejoining <= 105);
 }
 
-TEST(FairQueue, aRequestIsGivenUpOnceAndOnlyOnce) {
+TEST(FairQueue, aRequestIsRemovedOnlyOnce) {
   const CustomerIndex Only = customer("one");
   const QueuePosition Second = (push(Only), push(Only));
   LONGS_EQUAL(2, Queue_.remove(Second).value_or(QueuedRequest()).Ticket_);
   CHECK_FALSE(Queue_.remove(Second).has_value());
-  push(Only); // takes the freed place
+  push(Only); // reuses the freed node
   CHECK_FALSE(Queue_.remove(Second).has_value());
   LONGS_EQUAL(2, Queue_.size());
 }
 
-TEST(FairQueue, workAheadCountsOnlyWhatIsServedBefore) {
+TEST(FairQueue, workAheadCountsOnlyRequestsServedBefore) {
   const CustomerIndex Heavy = customer("heavy");
   const CustomerIndex Quiet = customer("quiet");
   pushMany(Heavy, 1000);
