--- a/libs/budget/EpochSettlement.cpp
+++ b/libs/budget/EpochSettlement.cpp
@@ -6,8 +6,8 @@
                             std::span<const base::HostId> Members) {
   if (Epoch <= Epoch_)
     return;
-  // Holders of the epoch before, whether it had settled or not. A new member
-  // holds nothing, so it is not waited for.
+  // The members of the previous epoch, whether it had settled or not. A new
+  // member holds no parts, so that it need not acknowledge.
   Open_.insert(Members_.begin(), Members_.end());
   Epoch_ = Epoch;
   Members_ = std::set<base::HostId>(Members.begin(), Members.end());
--- a/libs/budget/EpochShare.cpp
+++ b/libs/budget/EpochShare.cpp
@@ -16,9 +16,9 @@
                             base::TimePoint Now) noexcept {
   if (Epoch <= Epoch_)
     return false;
-  // A host whose lease ran out before it heard of the new epoch may have been
-  // left out of one in between, and its parts divided among the others. Parts
-  // kept across such a gap would be used by two hosts at once.
+  // A host whose lease expired before it learned of the new epoch may have been
+  // excluded from an epoch in between, with its parts divided among the others.
+  // If it kept its parts, two hosts would use them.
   Held_ = leaseStands(Now) ? Held_.least(Allotment) : ShareAmount{};
   Allotment_ = Allotment;
   Epoch_ = Epoch;
@@ -48,22 +48,22 @@
 std::optional<Transfer> EpochShare::donate(const base::HostId &Receiver,
                                            const ShareAmount &Wanted,
                                            base::TimePoint Now) {
-  // Before the epoch settles, settle() will set the share anew, so parts given
-  // away now would come back on top of what the receiver got.
+  // settle() resets the share to the allotment. Parts donated before it would
+  // be restored here in addition to those the receiver holds.
   if (!Settled_ || !leaseStands(Now) || Receiver == Self_)
     return std::nullopt;
   const ShareAmount Given = Held_.least(Wanted);
-  if (Given.isNothing())
+  if (Given.isEmpty())
     return std::nullopt;
   Held_ = Held_.minus(Given);
-  Transfer Made;
-  Made.Budget_ = Budget_;
-  Made.Epoch_ = Epoch_;
-  Made.Donor_ = Self_;
-  Made.Receiver_ = Receiver;
-  Made.Sequence_ = NextSequence_++;
-  Made.Amount_ = Given;
-  return Made;
+  Transfer Donated;
+  Donated.Budget_ = Budget_;
+  Donated.Epoch_ = Epoch_;
+  Donated.Donor_ = Self_;
+  Donated.Receiver_ = Receiver;
+  Donated.Sequence_ = NextSequence_++;
+  Donated.Amount_ = Given;
+  return Donated;
 }
 
 bool EpochShare::accept(const Transfer &Received, base::TimePoint Now) {
@@ -73,7 +73,7 @@
     return false;
   if (!Seen_[Received.Donor_].markNew(Received.Sequence_))
     return false;
-  // A donor gives only in a settled epoch, so this one is.
+  // A donor donates only in a settled epoch, so that this epoch has settled.
   settle(Received.Epoch_);
   Held_ = Held_.plus(Received.Amount_);
   return true;
@@ -89,8 +89,8 @@
     return true;
   }
   const std::uint64_t Behind = Highest_ - Sequence;
-  // Too old to tell whether it is a copy: refused, its parts stay lost until
-  // the next epoch.
+  // Too old to detect a copy: refused, and its parts are lost until the next
+  // epoch.
   if (Behind >= WindowBits)
     return false;
   const std::uint64_t Bit = std::uint64_t(1) << Behind;
--- a/libs/budget/ExchangePolicy.cpp
+++ b/libs/budget/ExchangePolicy.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// \returns the parts of the whole that hold \p Tokens of \p Burst, rounded up.
+/// \returns the parts of the capacity that hold \p Tokens of \p Burst, rounded
+/// up.
 Parts capacityFor(std::int64_t Tokens, std::int64_t Burst) noexcept {
   if (Burst <= 0 || Tokens <= 0)
     return 0;
@@ -30,17 +31,17 @@
                             Floor_);
 }
 
-ExchangeAmount ExchangePolicy::wanted(const ShareState &Own) const noexcept {
-  ExchangeAmount ShareRequest;
-  ShareRequest.Parts_.Rate_ = std::max<Parts>(0, needed(Own) - Own.Held_.Rate_);
-  ShareRequest.Tokens_ = std::max<std::int64_t>(0, Own.Soon_ - Own.Level_);
-  ShareRequest.Parts_.Capacity_ = capacityFor(ShareRequest.Tokens_, Own.Burst_);
-  // A difference too small to matter is not worth a message: a tenth of what
-  // is held, unless the tokens are about to run out.
-  if (ShareRequest.Tokens_ == 0 &&
-      ShareRequest.Parts_.Rate_ < Own.Held_.Rate_ / 10)
+ExchangeAmount
+ExchangePolicy::amountToRequest(const ShareState &Own) const noexcept {
+  ExchangeAmount Wanted;
+  Wanted.Parts_.Rate_ = std::max<Parts>(0, needed(Own) - Own.Held_.Rate_);
+  Wanted.Tokens_ = std::max<std::int64_t>(0, Own.NearTermDemand_ - Own.Level_);
+  Wanted.Parts_.Capacity_ = capacityFor(Wanted.Tokens_, Own.Burst_);
+  // A shortfall of less than a tenth of the held rate is not worth a message,
+  // unless the tokens are about to run out.
+  if (Wanted.Tokens_ == 0 && Wanted.Parts_.Rate_ < Own.Held_.Rate_ / 10)
     return {};
-  return ShareRequest;
+  return Wanted;
 }
 
 Parts ExchangePolicy::spareRate(const ShareState &Own) const noexcept {
@@ -51,27 +52,29 @@
 std::int64_t ExchangePolicy::spareTokens(const ShareState &Own) const noexcept {
   const std::int64_t Floor = static_cast<std::int64_t>(
       static_cast<double>(Own.Burst_) / std::max(1U, Own.Hosts_) * Floor_);
-  const std::int64_t Kept = std::max(2 * Own.Soon_, Floor);
+  const std::int64_t Kept = std::max(2 * Own.NearTermDemand_, Floor);
   return std::max<std::int64_t>(0, Own.Level_ - Kept);
 }
 
 ExchangeAmount
-ExchangePolicy::granted(const ShareState &Own, Parts AskedRate,
-                        std::int64_t AskedTokens) const noexcept {
-  ExchangeAmount Given;
-  Given.Parts_.Rate_ = std::min(AskedRate, spareRate(Own));
-  Given.Tokens_ = std::min(AskedTokens, spareTokens(Own));
-  const Parts ForTokens = capacityFor(Given.Tokens_, Own.Burst_);
-  // The room for tokens goes along with the rate, or a host that was given a
+ExchangePolicy::amountToGrant(const ShareState &Own, Parts RequestedRate,
+                              std::int64_t RequestedTokens) const noexcept {
+  ExchangeAmount Granted;
+  Granted.Parts_.Rate_ = std::min(RequestedRate, spareRate(Own));
+  Granted.Tokens_ = std::min(RequestedTokens, spareTokens(Own));
+  const Parts ForTokens = capacityFor(Granted.Tokens_, Own.Burst_);
+  // Capacity is granted in proportion to the rate, or a host that was granted a
   // busy customer's rate could not hold the tokens between two requests.
   const Parts ForRate =
       Own.Held_.Rate_ <= 0
           ? 0
           : static_cast<Parts>(static_cast<base::Int128>(Own.Held_.Capacity_) *
-                               Given.Parts_.Rate_ / Own.Held_.Rate_);
-  const Parts Most = std::max<Parts>(0, Own.Held_.Capacity_ - floorOf(Own));
-  Given.Parts_.Capacity_ = std::min(std::max(ForTokens, ForRate), Most);
-  return Given;
+                               Granted.Parts_.Rate_ / Own.Held_.Rate_);
+  const Parts MaxCapacity =
+      std::max<Parts>(0, Own.Held_.Capacity_ - floorOf(Own));
+  Granted.Parts_.Capacity_ =
+      std::min(std::max(ForTokens, ForRate), MaxCapacity);
+  return Granted;
 }
 
 } // namespace lychee::budget
--- a/libs/budget/ExchangePolicy.h
+++ b/libs/budget/ExchangePolicy.h
@@ -8,58 +8,58 @@
 
 namespace lychee::budget {
 
-/// What a host knows of its own share of one budget when it decides to ask or
-/// to give.
+/// The state of a host's own share of one budget, from which it decides what to
+/// request or to grant.
 struct ShareState {
   ShareAmount Held_;
-  /// Own demand, as parts of the total's rate.
+  /// Demand at this host, as parts of the total's rate.
   Parts Demand_ = 0;
-  /// Tokens there are, and the total's burst, in billionths of a request.
+  /// Tokens held, and the total's burst, in billionths of a request.
   std::int64_t Level_ = 0;
   std::int64_t Burst_ = 0;
-  /// Tokens that the own demand uses within one exchange with a peer.
-  std::int64_t Soon_ = 0;
-  /// Hosts of the epoch.
+  /// Tokens that this host's demand uses during one exchange with a peer.
+  std::int64_t NearTermDemand_ = 0;
+  /// Number of hosts in the epoch.
   std::uint32_t Hosts_ = 1;
 };
 
-/// What to ask of peers, or to give to one.
+/// An amount to request from peers, or to grant to one.
 struct ExchangeAmount {
   ShareAmount Parts_;
   std::int64_t Tokens_ = 0;
 
-  bool isNothing() const noexcept { return Parts_.isNothing() && Tokens_ <= 0; }
+  bool isEmpty() const noexcept { return Parts_.isEmpty() && Tokens_ <= 0; }
 };
 
-/// Moves shares to where a customer's requests come in.
+/// Moves shares to the hosts that receive a customer's requests.
 ///
-/// Load it answers: a customer's callers sit on one or two of the hosts, and
-/// move when a host stops. Without it each host holds an equal share, and a
-/// customer well inside its rate is refused on nine tenths of it.
+/// Load pattern: a customer's callers connect to one or two of the hosts, and
+/// move when a host stops. With an equal share at each host, a customer well
+/// within its rate would be refused nine tenths of it.
 ///
-/// A host asks when it holds less than its demand with a margin, or when its
-/// tokens do not last until a peer could answer. A peer gives what it does not
-/// need itself above a floor; the floor lets the first requests of a quiet
-/// customer in without waiting for anyone.
+/// A host requests parts when it holds less than its demand with a margin, or
+/// when its tokens do not last until a peer could respond. A peer grants what
+/// it does not need itself above a floor. The floor lets the first requests of
+/// a quiet customer be admitted without waiting for a peer.
 /// \see RateBudgets, docs/design/budget.md for the figures
 struct ExchangePolicy {
-  /// A host holds this times its demand: Poisson arrivals of 10/s over the one
-  /// second of DemandEstimator vary by a third.
+  /// A host holds this multiple of its demand: Poisson arrivals of 10 per
+  /// second over the one second of DemandEstimator vary by a third.
   double DemandMargin_ = 1.35;
-  /// Share of an equal share that a host never gives away.
+  /// Fraction of an equal share that a host never donates.
   double Floor_ = 0.1;
 
-  /// \returns what to ask for, nothing where the share does.
-  ExchangeAmount wanted(const ShareState &Own) const noexcept;
+  /// \returns what to request from peers; empty if the share suffices.
+  ExchangeAmount amountToRequest(const ShareState &Own) const noexcept;
 
-  /// \returns what a donor can spare of what was asked.
-  ExchangeAmount granted(const ShareState &Own, Parts AskedRate,
-                         std::int64_t AskedTokens) const noexcept;
+  /// \returns what a donor can spare of the requested amount.
+  ExchangeAmount amountToGrant(const ShareState &Own, Parts RequestedRate,
+                               std::int64_t RequestedTokens) const noexcept;
 
-  /// \returns parts of the rate that a donor could spare, for heartbeats.
+  /// \returns the parts of the rate that a donor can spare, for heartbeats.
   Parts spareRate(const ShareState &Own) const noexcept;
 
-  /// \returns tokens that a donor could spare.
+  /// \returns the tokens that a donor can spare.
   std::int64_t spareTokens(const ShareState &Own) const noexcept;
 
 private:
--- a/libs/budget/RateBudgets.cpp
+++ b/libs/budget/RateBudgets.cpp
@@ -9,21 +9,22 @@
 
 namespace {
 
-/// Longest time that an exchange with a peer takes: 20 ms each way between
-/// regions, an AskInterval until the ask is due, and a margin for a busy peer.
+/// Maximum duration of an exchange with a peer: 20 ms each way between regions,
+/// a RequestInterval until the request is due, and a margin for a busy peer.
 constexpr double ExchangeSeconds = 0.15;
 
-/// Tokens that a host keeps at the least for a customer it serves: the next
-/// request must not wait for a peer.
-constexpr std::int64_t FewTokens = 2 * TokensPerRequest;
+/// Minimum of tokens that a host keeps for a customer it serves, so that the
+/// next request does not wait for a peer.
+constexpr std::int64_t MinReserve = 2 * TokensPerRequest;
 
-/// Callers have left a host where less than this part of the usual demand came
-/// within RecentMemory, and where enough usually comes for that to mean
-/// something: of ten expected Poisson arrivals four or fewer come once in 34
-/// times. Without the second bound hosts gave away what a customer's next
-/// requests needed (docs/measurements/budget.md, round 4).
-constexpr double LeftShare = 0.4;
-constexpr double MeaningfulArrivals = 10;
+/// Callers count as having left a host if the recent demand, estimated over
+/// RecentTimeConstant, is below this fraction of the usual demand, and if
+/// enough arrivals were expected for this to be significant: of ten expected
+/// Poisson arrivals, four or fewer occur once in 34 times. Without the second
+/// condition hosts donated what a customer's next requests needed
+/// (docs/measurements/budget.md).
+constexpr double DepartedFraction = 0.4;
+constexpr double MinExpectedArrivals = 10;
 
 } // namespace
 
@@ -34,12 +35,12 @@
   return Shards_[base::stableHash(Budget) % ShardCount];
 }
 
-void RateBudgets::joinEpoch(Entry &Of, const EpochGrant &Grant, bool Settled,
-                            base::TimePoint Now) const {
-  Of.Share_.enterEpoch(Grant.Epoch_, equalShare(Grant.Hosts_),
-                       Grant.LeaseUntil_, Now);
+void RateBudgets::applyEpoch(Entry &BudgetEntry, const EpochLease &Lease,
+                             bool Settled, base::TimePoint Now) const {
+  BudgetEntry.Share_.enterEpoch(Lease.Epoch_, equalShare(Lease.Hosts_),
+                                Lease.LeaseUntil_, Now);
   if (Settled)
-    Of.Share_.settle(Grant.Epoch_, Now);
+    BudgetEntry.Share_.settle(Lease.Epoch_, Now);
 }
 
 void RateBudgets::setTotal(std::string_view Budget, const RateTotal &Total,
@@ -52,46 +53,46 @@
     Found->second.Share_.setTotal(Total, Now);
     return;
   }
-  Entry Fresh(RateShare(std::string(Budget), Self_, Total, Now));
-  joinEpoch(Fresh, Grant_, Settled_, Now);
-  Home.Entries_.emplace(Budget, std::move(Fresh));
+  Entry Added(RateShare(std::string(Budget), Self_, Total, Now));
+  applyEpoch(Added, Lease_, Settled_, Now);
+  Home.Entries_.emplace(Budget, std::move(Added));
 }
 
-void RateBudgets::enterEpoch(const EpochGrant &Grant, base::TimePoint Now) {
+void RateBudgets::enterEpoch(const EpochLease &Lease, base::TimePoint Now) {
   const std::scoped_lock EpochGuard(EpochLock_);
-  if (Grant.Epoch_ <= Grant_.Epoch_)
+  if (Lease.Epoch_ <= Lease_.Epoch_)
     return;
-  Grant_ = Grant;
+  Lease_ = Lease;
   Settled_ = false;
   for (Shard &Each : Shards_) {
     const std::scoped_lock Guard(Each.Lock_);
-    for (auto &[Name, Of] : Each.Entries_)
-      joinEpoch(Of, Grant, false, Now);
+    for (auto &[Name, BudgetEntry] : Each.Entries_)
+      applyEpoch(BudgetEntry, Lease, false, Now);
   }
 }
 
 void RateBudgets::settle(std::uint64_t Epoch, base::TimePoint Now) {
   const std::scoped_lock EpochGuard(EpochLock_);
-  if (Epoch != Grant_.Epoch_ || Settled_)
+  if (Epoch != Lease_.Epoch_ || Settled_)
     return;
   Settled_ = true;
   for (Shard &Each : Shards_) {
     const std::scoped_lock Guard(Each.Lock_);
-    for (auto &[Name, Of] : Each.Entries_)
-      Of.Share_.settle(Epoch, Now);
+    for (auto &[Name, BudgetEntry] : Each.Entries_)
+      BudgetEntry.Share_.settle(Epoch, Now);
   }
 }
 
 void RateBudgets::renewLease(std::uint64_t Epoch, base::TimePoint Until,
                              base::TimePoint Now) {
   const std::scoped_lock EpochGuard(EpochLock_);
-  if (Epoch != Grant_.Epoch_)
+  if (Epoch != Lease_.Epoch_)
     return;
-  Grant_.LeaseUntil_ = std::max(Grant_.LeaseUntil_, Until);
+  Lease_.LeaseUntil_ = std::max(Lease_.LeaseUntil_, Until);
   for (Shard &Each : Shards_) {
     const std::scoped_lock Guard(Each.Lock_);
-    for (auto &[Name, Of] : Each.Entries_)
-      Of.Share_.renewLease(Epoch, Until, Now);
+    for (auto &[Name, BudgetEntry] : Each.Entries_)
+      BudgetEntry.Share_.renewLease(Epoch, Until, Now);
   }
 }
 
@@ -111,81 +112,90 @@
   const auto Found = Home.Entries_.find(Budget);
   if (Found == Home.Entries_.end())
     return {SpendResult::NoShare, base::Duration::max()};
-  Entry &Of = Found->second;
+  Entry &BudgetEntry = Found->second;
   if (IsDemand)
-    Of.Demand_.note(1, Now);
-  Of.Recent_.note(1, Now);
-  const SpendResult Result = Of.Share_.spend(TokensPerRequest, Now);
+    BudgetEntry.Demand_.record(1, Now);
+  BudgetEntry.Recent_.record(1, Now);
+  const SpendResult Result = BudgetEntry.Share_.spend(TokensPerRequest, Now);
   if (Result == SpendResult::Granted)
     return {Result, base::Duration::zero()};
-  return {Result, Of.Share_.timeUntil(TokensPerRequest, Now)};
+  return {Result, BudgetEntry.Share_.timeUntil(TokensPerRequest, Now)};
 }
 
-ShareState RateBudgets::needOf(Entry &Of, base::TimePoint Now) const noexcept {
-  return stateOf(
-      Of,
-      std::max(Of.Demand_.ratePerSecond(Now), Of.Recent_.ratePerSecond(Now)),
-      Now);
+ShareState RateBudgets::demandState(Entry &BudgetEntry,
+                                    base::TimePoint Now) const noexcept {
+  return shareState(BudgetEntry,
+                    std::max(BudgetEntry.Demand_.ratePerSecond(Now),
+                             BudgetEntry.Recent_.ratePerSecond(Now)),
+                    Now);
 }
 
-ShareState RateBudgets::spareOf(Entry &Of, base::TimePoint Now) const noexcept {
-  const double Usual = Of.Demand_.ratePerSecond(Now);
-  const double Recent = Of.Recent_.ratePerSecond(Now);
-  const bool IsMeaningful =
-      Usual * base::toSeconds(RecentMemory) >= MeaningfulArrivals;
-  const bool HaveLeft = IsMeaningful && Recent < Usual * LeftShare;
-  return stateOf(Of, HaveLeft ? Recent : std::max(Usual, Recent), Now);
+ShareState RateBudgets::spareState(Entry &BudgetEntry,
+                                   base::TimePoint Now) const noexcept {
+  const double Usual = BudgetEntry.Demand_.ratePerSecond(Now);
+  const double Recent = BudgetEntry.Recent_.ratePerSecond(Now);
+  const bool IsSignificant =
+      Usual * base::toSeconds(RecentTimeConstant) >= MinExpectedArrivals;
+  const bool CallersLeft = IsSignificant && Recent < Usual * DepartedFraction;
+  return shareState(BudgetEntry, CallersLeft ? Recent : std::max(Usual, Recent),
+                    Now);
 }
 
-ShareState RateBudgets::stateOf(Entry &Of, double PerSecond,
-                                base::TimePoint Now) const noexcept {
+ShareState RateBudgets::shareState(Entry &BudgetEntry, double RequestsPerSecond,
+                                   base::TimePoint Now) const noexcept {
   ShareState State;
-  State.Held_ = Of.Share_.share().usable(Now);
+  State.Held_ = BudgetEntry.Share_.share().usable(Now);
   const double TotalRate =
-      static_cast<double>(Of.Share_.total().MicroRequestsPerSecond_) * 1e-6;
+      static_cast<double>(BudgetEntry.Share_.total().MicroRequestsPerSecond_) *
+      1e-6;
   if (TotalRate > 0)
-    State.Demand_ = static_cast<Parts>(std::min(PerSecond / TotalRate, 1.0) *
-                                       static_cast<double>(TotalParts));
-  State.Level_ = Of.Share_.level(Now);
-  State.Burst_ = Of.Share_.total().Burst_;
-  const double SoonRequests = std::min(PerSecond, TotalRate) * ExchangeSeconds;
-  State.Soon_ = PerSecond < 0.01
-                    ? 0
-                    : FewTokens + static_cast<std::int64_t>(
-                                      SoonRequests *
-                                      static_cast<double>(TokensPerRequest));
-  State.Soon_ = std::min(State.Soon_, State.Burst_);
+    State.Demand_ =
+        static_cast<Parts>(std::min(RequestsPerSecond / TotalRate, 1.0) *
+                           static_cast<double>(TotalParts));
+  State.Level_ = BudgetEntry.Share_.level(Now);
+  State.Burst_ = BudgetEntry.Share_.total().Burst_;
+  const double NearTermRequests =
+      std::min(RequestsPerSecond, TotalRate) * ExchangeSeconds;
+  State.NearTermDemand_ =
+      RequestsPerSecond < 0.01
+          ? 0
+          : MinReserve +
+                static_cast<std::int64_t>(
+                    NearTermRequests * static_cast<double>(TokensPerRequest));
+  State.NearTermDemand_ = std::min(State.NearTermDemand_, State.Burst_);
   return State;
 }
 
-std::optional<ShareRequest>
-RateBudgets::makeAsk(std::string_view Budget, Entry &Of, base::TimePoint Now) {
-  if (!Of.Share_.share().settled() || Now < Of.LastAsk_ + AskInterval)
+std::optional<ShareRequest> RateBudgets::makeRequest(std::string_view Budget,
+                                                     Entry &BudgetEntry,
+                                                     base::TimePoint Now) {
+  if (!BudgetEntry.Share_.share().settled() ||
+      Now < BudgetEntry.LastRequest_ + RequestInterval)
     return std::nullopt;
-  ShareState State = needOf(Of, Now);
-  State.Hosts_ = Grant_.Hosts_;
-  const ExchangeAmount Wanted = Policy_.wanted(State);
-  if (Wanted.isNothing())
+  ShareState State = demandState(BudgetEntry, Now);
+  State.Hosts_ = Lease_.Hosts_;
+  const ExchangeAmount Wanted = Policy_.amountToRequest(State);
+  if (Wanted.isEmpty())
     return std::nullopt;
-  Of.LastAsk_ = Now;
-  ShareRequest Made;
-  Made.Budget_ = Budget;
-  Made.Epoch_ = Of.Share_.share().epoch();
-  Made.Requester_ = Self_;
-  Made.Rate_ = Wanted.Parts_.Rate_;
-  Made.Tokens_ = Wanted.Tokens_;
-  return Made;
-}
-
-std::optional<ShareRequest> RateBudgets::askFor(std::string_view Budget,
-                                                base::TimePoint Now) {
+  BudgetEntry.LastRequest_ = Now;
+  ShareRequest Request;
+  Request.Budget_ = Budget;
+  Request.Epoch_ = BudgetEntry.Share_.share().epoch();
+  Request.Requester_ = Self_;
+  Request.Rate_ = Wanted.Parts_.Rate_;
+  Request.Tokens_ = Wanted.Tokens_;
+  return Request;
+}
+
+std::optional<ShareRequest> RateBudgets::requestFor(std::string_view Budget,
+                                                    base::TimePoint Now) {
   const std::scoped_lock EpochGuard(EpochLock_);
   Shard &Home = shardOf(Budget);
   const std::scoped_lock Guard(Home.Lock_);
   const auto Found = Home.Entries_.find(Budget);
   if (Found == Home.Entries_.end())
     return std::nullopt;
-  return makeAsk(Budget, Found->second, Now);
+  return makeRequest(Budget, Found->second, Now);
 }
 
 std::vector<ShareRequest> RateBudgets::dueRequests(base::TimePoint Now) {
@@ -193,31 +203,33 @@
   std::vector<ShareRequest> Due;
   for (Shard &Each : Shards_) {
     const std::scoped_lock Guard(Each.Lock_);
-    for (auto &[Name, Of] : Each.Entries_)
-      if (std::optional<ShareRequest> Made = makeAsk(Name, Of, Now))
-        Due.push_back(std::move(*Made));
+    for (auto &[Name, BudgetEntry] : Each.Entries_)
+      if (std::optional<ShareRequest> Request =
+              makeRequest(Name, BudgetEntry, Now))
+        Due.push_back(std::move(*Request));
   }
   return Due;
 }
 
-std::optional<Transfer> RateBudgets::donate(const ShareRequest &Asked,
+std::optional<Transfer> RateBudgets::donate(const ShareRequest &Request,
                                             base::TimePoint Now) {
   const std::scoped_lock EpochGuard(EpochLock_);
-  Shard &Home = shardOf(Asked.Budget_);
+  Shard &Home = shardOf(Request.Budget_);
   const std::scoped_lock Guard(Home.Lock_);
-  const auto Found = Home.Entries_.find(Asked.Budget_);
+  const auto Found = Home.Entries_.find(Request.Budget_);
   if (Found == Home.Entries_.end())
     return std::nullopt;
-  Entry &Of = Found->second;
-  if (Of.Share_.share().epoch() != Asked.Epoch_)
+  Entry &BudgetEntry = Found->second;
+  if (BudgetEntry.Share_.share().epoch() != Request.Epoch_)
     return std::nullopt;
-  ShareState State = spareOf(Of, Now);
-  State.Hosts_ = Grant_.Hosts_;
-  const ExchangeAmount Given =
-      Policy_.granted(State, Asked.Rate_, Asked.Tokens_);
-  if (Given.isNothing())
+  ShareState State = spareState(BudgetEntry, Now);
+  State.Hosts_ = Lease_.Hosts_;
+  const ExchangeAmount Granted =
+      Policy_.amountToGrant(State, Request.Rate_, Request.Tokens_);
+  if (Granted.isEmpty())
     return std::nullopt;
-  return Of.Share_.donate(Asked.Requester_, Given.Parts_, Given.Tokens_, Now);
+  return BudgetEntry.Share_.donate(Request.Requester_, Granted.Parts_,
+                                   Granted.Tokens_, Now);
 }
 
 bool RateBudgets::accept(const Transfer &Received, base::TimePoint Now) {
@@ -234,9 +246,9 @@
   std::vector<SpareOffer> Offers;
   for (Shard &Each : Shards_) {
     const std::scoped_lock Guard(Each.Lock_);
-    for (auto &[Name, Of] : Each.Entries_) {
-      ShareState State = spareOf(Of, Now);
-      State.Hosts_ = Grant_.Hosts_;
+    for (auto &[Name, BudgetEntry] : Each.Entries_) {
+      ShareState State = spareState(BudgetEntry, Now);
+      State.Hosts_ = Lease_.Hosts_;
       SpareOffer Offer{Name, Policy_.spareRate(State),
                        Policy_.spareTokens(State)};
       if (Offer.Rate_ > 0 || Offer.Tokens_ > 0)
--- a/libs/budget/RateBudgets.h
+++ b/libs/budget/RateBudgets.h
@@ -15,35 +15,37 @@
 
 namespace lychee::budget {
 
-/// What a peer could spare of one budget, as its last heartbeat told.
+/// What a peer can spare of one budget, as announced in its last heartbeat.
 struct SpareOffer {
   std::string Budget_;
   Parts Rate_ = 0;
   std::int64_t Tokens_ = 0;
 };
 
-/// The membership epoch that a host's shares stand in.
-struct EpochGrant {
+/// The membership epoch that a host's shares are in, and the host's lease.
+struct EpochLease {
   std::uint64_t Epoch_ = 0;
-  /// Hosts of the epoch; each has an equal allotment to begin with.
+  /// Number of hosts in the epoch; each begins with an equal allotment.
   std::uint32_t Hosts_ = 0;
   base::TimePoint LeaseUntil_;
 };
 
-/// How a customer's request for a token went.
+/// The result of spending a customer's token.
 struct SpendOutcome {
   SpendResult Result_ = SpendResult::NoShare;
-  /// Where Short: when this host's share alone would have refilled;
-  /// Duration::max() where it never does.
+  /// Unless Granted: time until this host's share alone would have refilled, or
+  /// Duration::max() if it never does.
   base::Duration RefillTime_{};
 };
 
-/// All rate budgets of one host: one RateShare for each customer, with the
-/// demand seen for it. Thread-safe: customers stand in shards, each under its
-/// own lock; no method waits for anything but a shard's lock.
+/// All rate budgets of one host: one RateShare per customer, with the
+/// customer's demand at this host. Does no I/O: the exchange with peers polls
+/// it for due requests, passes it the requests and transfers of peers, and
+/// reports epochs and leases.
 ///
-/// The fleet's I/O asks it for asks that are due, hands it peers' asks and
-/// transfers, and tells it of epochs and leases. \see ExchangePolicy
+/// Thread-safe: customers are sharded, each shard under its own lock. Methods
+/// wait for nothing but a shard's lock and the lock of the epoch.
+/// \see ExchangePolicy
 class RateBudgets {
 public:
   explicit RateBudgets(base::HostId Self, ExchangePolicy Policy = {});
@@ -52,51 +54,53 @@
 
   // Settings, epochs, leases.
 
-  /// Sets a budget's total, and begins it where it is new.
+  /// Sets a budget's total, and adds the budget if it is new.
   void setTotal(std::string_view Budget, const RateTotal &Total,
                 base::TimePoint Now);
 
-  /// Enters a newer epoch with every budget.
-  void enterEpoch(const EpochGrant &Grant, base::TimePoint Now);
+  /// Enters an epoch with every budget. Has no effect unless it is newer.
+  void enterEpoch(const EpochLease &Lease, base::TimePoint Now);
   void settle(std::uint64_t Epoch, base::TimePoint Now);
   void renewLease(std::uint64_t Epoch, base::TimePoint Until,
                   base::TimePoint Now);
 
   // Requests.
 
-  /// Spends one request's token of \p Budget and counts the demand.
-  /// \param Now  read after any wait, right before this call.
+  /// Spends the tokens of one request from \p Budget and counts the demand.
+  /// \param Now  read after any wait, immediately before this call.
   SpendOutcome spend(std::string_view Budget, base::TimePoint Now);
 
-  /// The same for a request that was short before and waits for tokens on
-  /// their way: it is not counted as demand once more.
+  /// The same for a request that found too few tokens before and waits for a
+  /// transfer: it is not counted as demand again.
   SpendOutcome retrySpend(std::string_view Budget, base::TimePoint Now);
 
   // Exchange with peers.
 
-  /// \returns an ask for the budget, where one helps and none was made within
-  /// AskInterval.
-  std::optional<ShareRequest> askFor(std::string_view Budget,
-                                     base::TimePoint Now);
+  /// \returns a request for the budget, if parts or tokens are needed and none
+  /// was made within RequestInterval.
+  std::optional<ShareRequest> requestFor(std::string_view Budget,
+                                         base::TimePoint Now);
 
-  /// \returns the asks that are due of all budgets.
+  /// \returns the requests that are due, of all budgets.
   std::vector<ShareRequest> dueRequests(base::TimePoint Now);
 
-  /// Gives a peer what can be spared; the parts have left this host's share
-  /// when it returns.
-  std::optional<Transfer> donate(const ShareRequest &Asked,
+  /// Grants a peer what can be spared. The parts have left this host's share on
+  /// return.
+  std::optional<Transfer> donate(const ShareRequest &Request,
                                  base::TimePoint Now);
 
-  /// Adds what a peer gave. \returns false where it does not count.
+  /// Adds a transfer from a peer.
+  /// \returns false if it is refused. \see EpochShare::accept
   bool accept(const Transfer &Received, base::TimePoint Now);
 
-  /// \returns what could be spared of each budget that has something to spare.
+  /// \returns what can be spared of each budget, without empty offers.
   std::vector<SpareOffer> offers(base::TimePoint Now);
 
-  /// Time between two asks for one budget: about the time a peer in another
-  /// region takes to answer (20 ms each way), so that one ask is not repeated
-  /// while its answer is on the way.
-  static constexpr base::Duration AskInterval = std::chrono::milliseconds(50);
+  /// Time between two requests for one budget: about the time until a peer in
+  /// another region responds (20 ms each way), so that a request is not
+  /// repeated while its response is in transit.
+  static constexpr base::Duration RequestInterval =
+      std::chrono::milliseconds(50);
 
 private:
   struct Entry {
@@ -104,11 +108,11 @@
 
     RateShare Share_;
     DemandEstimator Demand_;
-    /// Follows within a third of a second: what this host could spare. A host
-    /// whose callers have just left would else sit on their rate for seconds,
-    /// and one that gave too much asks for it back.
-    DemandEstimator Recent_{RecentMemory};
-    base::TimePoint LastAsk_;
+    /// Adapts within a third of a second and decides what this host can spare.
+    /// Otherwise a host whose callers have just left would keep their rate for
+    /// seconds. A host that granted too much requests it back.
+    DemandEstimator Recent_{RecentTimeConstant};
+    base::TimePoint LastRequest_;
   };
 
   struct Shard {
@@ -121,24 +125,26 @@
   SpendOutcome spendFrom(std::string_view Budget, bool IsDemand,
                          base::TimePoint Now);
   Shard &shardOf(std::string_view Budget) noexcept;
-  static constexpr base::Duration RecentMemory = std::chrono::milliseconds(200);
-
-  ShareState stateOf(Entry &Of, double PerSecond,
-                     base::TimePoint Now) const noexcept;
-  ShareState needOf(Entry &Of, base::TimePoint Now) const noexcept;
-  ShareState spareOf(Entry &Of, base::TimePoint Now) const noexcept;
-  std::optional<ShareRequest> makeAsk(std::string_view Budget, Entry &Of,
-                                      base::TimePoint Now);
-  void joinEpoch(Entry &Of, const EpochGrant &Grant, bool Settled,
-                 base::TimePoint Now) const;
+  static constexpr base::Duration RecentTimeConstant =
+      std::chrono::milliseconds(200);
+
+  ShareState shareState(Entry &BudgetEntry, double PerSecond,
+                        base::TimePoint Now) const noexcept;
+  ShareState demandState(Entry &BudgetEntry,
+                         base::TimePoint Now) const noexcept;
+  ShareState spareState(Entry &BudgetEntry, base::TimePoint Now) const noexcept;
+  std::optional<ShareRequest>
+  makeRequest(std::string_view Budget, Entry &BudgetEntry, base::TimePoint Now);
+  void applyEpoch(Entry &BudgetEntry, const EpochLease &Lease, bool Settled,
+                  base::TimePoint Now) const;
 
   const base::HostId Self_;
   const ExchangePolicy Policy_;
   std::array<Shard, ShardCount> Shards_;
 
-  /// The epoch that budgets which begin later join.
+  /// The current epoch, which new budgets enter.
   mutable std::mutex EpochLock_;
-  EpochGrant Grant_;
+  EpochLease Lease_;
   bool Settled_ = false;
 };
 
--- a/libs/budget/RateShare.cpp
+++ b/libs/budget/RateShare.cpp
@@ -8,10 +8,11 @@
 
 namespace {
 
-/// Hosts fill their buckets by this much less than their share of the rate.
-/// Source: quartz clocks of servers stay within 100 parts in a million of
-/// true time, and a corrected clock is slewed by at most 500. Without it, ten
-/// hosts whose clocks run fast would let in more than the rate.
+/// Margin for clock drift, in millionths: buckets fill by this much less than
+/// the host's share of the rate. Quartz clocks of servers stay within 100 parts
+/// per million of true time, and a corrected clock is slewed by at most 500.
+/// Without the margin, ten hosts whose clocks run fast would admit more than
+/// the rate.
 constexpr std::int64_t DriftMargin = 500;
 constexpr std::int64_t Million = 1'000'000;
 
@@ -54,7 +55,8 @@
                            base::TimePoint Now) noexcept {
   if (!Share_.enterEpoch(Epoch, Allotment, LeaseUntil, Now))
     return false;
-  // Across a lapsed lease no parts are kept, so the limits drop all tokens too.
+  // No parts are kept across an expired lease, so that the limits drop all
+  // tokens as well.
   applyLimits(Now);
   return true;
 }
@@ -66,17 +68,19 @@
 
 void RateShare::renewLease(std::uint64_t Epoch, base::TimePoint Until,
                            base::TimePoint Now) noexcept {
-  const bool LeaseStood = Now < Share_.leaseUntil();
+  const bool LeaseWasValid = Now < Share_.leaseUntil();
   Share_.renewLease(Epoch, Until);
-  // Limits set while the lease had lapsed were those of an empty share.
-  if (!LeaseStood)
+  // Limits that were set while the lease was expired are those of an empty
+  // share.
+  if (!LeaseWasValid)
     applyLimits(Now);
 }
 
 SpendResult RateShare::spend(std::int64_t Cost, base::TimePoint Now) noexcept {
-  if (Share_.usable(Now).isNothing())
+  if (Share_.usable(Now).isEmpty())
     return SpendResult::NoShare;
-  return Bucket_.take(Cost, Now) ? SpendResult::Granted : SpendResult::Short;
+  return Bucket_.take(Cost, Now) ? SpendResult::Granted
+                                 : SpendResult::Insufficient;
 }
 
 std::optional<Transfer> RateShare::donate(const base::HostId &Receiver,
@@ -86,8 +90,8 @@
   std::optional<Transfer> Made = Share_.donate(Receiver, Wanted, Now);
   if (!Made)
     return std::nullopt;
-  // Never more tokens than the capacity that goes along can hold, so that the
-  // buckets' contents stay below the burst while the message is on its way.
+  // No more tokens than the donated capacity can hold, so that the tokens of
+  // all buckets stay within the burst while the message is in transit.
   const std::int64_t Most = portion(Total_.Burst_, Made->Amount_.Capacity_);
   Made->Tokens_ = Bucket_.takeUpTo(std::min(Tokens, Most), Now);
   applyLimits(Now);
@@ -103,12 +107,12 @@
 }
 
 std::int64_t RateShare::level(base::TimePoint Now) noexcept {
-  return Share_.usable(Now).isNothing() ? 0 : Bucket_.level(Now);
+  return Share_.usable(Now).isEmpty() ? 0 : Bucket_.level(Now);
 }
 
 base::Duration RateShare::timeUntil(std::int64_t Cost,
                                     base::TimePoint Now) noexcept {
-  if (Share_.usable(Now).isNothing())
+  if (Share_.usable(Now).isEmpty())
     return base::Duration::max();
   return Bucket_.timeUntil(Cost, Now);
 }
--- a/libs/budget/RateShare.h
+++ b/libs/budget/RateShare.h
@@ -6,11 +6,11 @@
 
 namespace lychee::budget {
 
-/// A total of requests: so many a second, and so many at once.
+/// The total of a rate budget over all hosts: a rate and a burst.
 struct RateTotal {
-  /// Millionths of a request a second.
+  /// Millionths of a request per second.
   std::int64_t MicroRequestsPerSecond_ = 0;
-  /// Tokens, see TokensPerRequest.
+  /// In tokens. \see TokensPerRequest
   std::int64_t Burst_ = 0;
 
   bool operator==(const RateTotal &) const = default;
@@ -19,29 +19,29 @@
   static RateTotal fromRequests(double RatePerSecond, double Burst) noexcept;
 };
 
-/// How a request for tokens ended.
+/// The result of spending tokens.
 enum class SpendResult {
   Granted,
-  /// The share is empty; peers may have some, or time will fill it.
-  Short,
-  /// No lease, or a share not yet given: nothing may be spent.
+  /// The share has too few tokens; peers may have some, or time will refill it.
+  Insufficient,
+  /// No valid lease, or no share yet: nothing may be spent.
   NoShare,
 };
 
-/// One host's share of a customer's rate and burst. What all hosts let in
-/// between any two moments is at most the rate times the time between, plus
-/// the burst. It holds since at each moment the buckets' bounds add up to at
-/// most the burst and their rates to at most the rate (\see EpochShare), and
-/// tokens move between buckets donor first. There is no refund: a token given
-/// back after the bucket has refilled would let one more through than the
-/// burst, in a window that begins after the first spending.
-/// Not thread-safe. \see RateBudgets, DemandEstimator
+/// One host's share of a customer's rate and burst. In any period, all hosts
+/// together admit at most the rate times the period plus the burst. This holds
+/// because at each moment the capacities of all buckets add up to at most the
+/// burst and their rates to at most the rate (\see EpochShare), and because
+/// tokens leave the donor's bucket before they enter the receiver's. There is
+/// no refund: a token returned after the bucket has refilled would admit one
+/// request more than the burst in a period that begins after it was first
+/// spent. Not thread-safe. \see RateBudgets, DemandEstimator
 class RateShare {
 public:
   RateShare(std::string Budget, base::HostId Self, const RateTotal &Total,
             base::TimePoint Now);
 
-  /// Operators changed the total; the share's parts stay as they are.
+  /// Sets a changed total; the share's parts stay the same.
   void setTotal(const RateTotal &Total, base::TimePoint Now) noexcept;
 
   bool enterEpoch(std::uint64_t Epoch, const ShareAmount &Allotment,
@@ -50,25 +50,25 @@
   void renewLease(std::uint64_t Epoch, base::TimePoint Until,
                   base::TimePoint Now) noexcept;
 
-  /// Spends \p Cost tokens.
-  /// \param Now  read after any wait, right before this call.
+  /// Spends \p Cost tokens, all or none.
+  /// \param Now  read after any wait, immediately before this call.
   SpendResult spend(std::int64_t Cost, base::TimePoint Now) noexcept;
 
-  /// Takes parts and tokens off this share for \p Receiver.
+  /// Subtracts parts and tokens from this share for \p Receiver.
+  /// \see EpochShare::donate
   std::optional<Transfer> donate(const base::HostId &Receiver,
                                  const ShareAmount &Wanted, std::int64_t Tokens,
                                  base::TimePoint Now);
   bool accept(const Transfer &Received, base::TimePoint Now);
 
-  /// \returns tokens there are now.
+  /// \returns the number of tokens; 0 without a usable share.
   std::int64_t level(base::TimePoint Now) noexcept;
   base::Duration timeUntil(std::int64_t Cost, base::TimePoint Now) noexcept;
 
   const EpochShare &share() const noexcept { return Share_; }
   const RateTotal &total() const noexcept { return Total_; }
 
-  /// \returns the part of \p Amount that \p Held of the whole makes, rounded
-  /// down.
+  /// \returns \p Held parts of \p Amount, rounded down.
   static std::int64_t portion(std::int64_t Amount, Parts Held) noexcept;
 
 private:
--- a/libs/budget/SlotShare.cpp
+++ b/libs/budget/SlotShare.cpp
@@ -12,10 +12,10 @@
     : Share_(std::move(Budget), std::move(Self)), Total_(Total) {}
 
 std::int64_t SlotShare::slotsOf(Parts Held) const noexcept {
-  // Parts of a slot that rounding took are given back, or a share of 11 slots
-  // that came in two transfers would count as 10. All hosts together still get
-  // at most the total: their exact slots add up to no more than it, so with
-  // fewer than 2^20 hosts the rounded ones stay below one slot more.
+  // Compensates for the rounding of transfers, or a share of 11 slots received
+  // in two transfers would count as 10. All hosts together still get at most
+  // the total: their exact slots add up to at most the total, so that with
+  // fewer than 2^20 hosts the rounded ones add up to less than one slot more.
   constexpr Parts Rounding = TotalParts >> 20;
   const base::Int128 Scaled = static_cast<base::Int128>(Total_) * Held;
   return static_cast<std::int64_t>((Scaled + Rounding) / TotalParts);
@@ -51,8 +51,9 @@
 }
 
 void SlotShare::release(std::int64_t Slots) noexcept {
-  // Releasing what was never acquired would let two requests use one slot.
-  assert(Slots <= InUse_ && "the caller releases what it acquired, once");
+  // Releasing slots that were not acquired would let two requests use one slot.
+  assert(Slots <= InUse_ &&
+         "callers release only slots that they acquired, once");
   InUse_ -= std::min(Slots, InUse_);
 }
 
@@ -61,13 +62,13 @@
                                           base::TimePoint Now) {
   if (Total_ <= 0 || Slots <= 0)
     return std::nullopt;
-  const std::int64_t Most = std::min(Slots, spare(Now));
-  if (Most <= 0)
+  const std::int64_t Donated = std::min(Slots, spare(Now));
+  if (Donated <= 0)
     return std::nullopt;
-  // Parts of whole slots, rounded up so that the receiver gets each slot whole,
-  // and held back where the rounding would take a slot that is in use.
+  // Parts of whole slots, rounded up so that the receiver gets complete slots,
+  // but limited so that the rounding does not take a slot that is in use.
   const Parts Wanted = static_cast<Parts>(
-      (static_cast<base::Int128>(Most) * TotalParts + Total_ - 1) / Total_);
+      (static_cast<base::Int128>(Donated) * TotalParts + Total_ - 1) / Total_);
   const Parts InUseParts = static_cast<Parts>(
       (static_cast<base::Int128>(InUse_) * TotalParts + Total_ - 1) / Total_);
   const Parts Free = Share_.usable(Now).Capacity_ - InUseParts;
--- a/libs/budget/SlotShare.h
+++ b/libs/budget/SlotShare.h
@@ -5,13 +5,13 @@
 
 namespace lychee::budget {
 
-/// One host's share of a total of things in use at once: a region's slots that
-/// work steered into it may take, or the bits a second of a link. What is in
-/// use is never given away: a share shrinks to what is in use at the least.
-/// Not thread-safe. \see EpochShare for the rules, RateBudgets
+/// One host's share of a total that is in use concurrently: the slots of a
+/// region for requests steered into it, or the bits per second of a link. Slots
+/// in use are never donated, so that a share does not shrink below them by
+/// donations. Not thread-safe. \see EpochShare for the rules, RateBudgets
 class SlotShare {
 public:
-  /// \param Total  slots of the whole fleet.
+  /// \param Total  slots of all hosts together.
   SlotShare(std::string Budget, base::HostId Self, std::int64_t Total);
 
   void setTotal(std::int64_t Total) noexcept { Total_ = Total; }
@@ -21,12 +21,12 @@
   void settle(std::uint64_t Epoch) noexcept;
   void renewLease(std::uint64_t Epoch, base::TimePoint Until) noexcept;
 
-  /// \returns true where this host may tell the others that it has entered:
-  /// until then work begun under the older, larger share still runs, and the
-  /// slots under it are not free for anyone.
+  /// \returns true if this host may announce that it has entered the epoch.
+  /// Until then requests that started under the older, larger share still run,
+  /// and their slots are not available to others.
   bool fitsAllotment(const ShareAmount &Allotment) const noexcept;
 
-  /// Takes \p Slots into use, all or none.
+  /// Acquires \p Slots, all or none.
   bool acquire(std::int64_t Slots, base::TimePoint Now) noexcept;
   void release(std::int64_t Slots) noexcept;
 
@@ -35,7 +35,7 @@
   bool accept(const Transfer &Received, base::TimePoint Now);
 
   std::int64_t inUse() const noexcept { return InUse_; }
-  /// \returns slots that this host may still take into use at \p Now.
+  /// \returns the slots that this host may still acquire at \p Now.
   std::int64_t spare(base::TimePoint Now) const noexcept;
   const EpochShare &share() const noexcept { return Share_; }
 
--- a/libs/budget/TokenBucket.cpp
+++ b/libs/budget/TokenBucket.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-/// Millionths of a request a second times nanoseconds, for one token.
+/// Units of one token: millionths of a request per second times nanoseconds.
 constexpr std::int64_t UnitsPerToken = 1'000'000;
 
-/// A bucket fills at most for this long at a time: longer than any burst
-/// takes to fill at a rate that operators may set (one request an hour), and
-/// short enough for the product to stay within 128 bits.
-constexpr base::Duration LongestFill = std::chrono::hours(24);
+/// Upper bound of the time that one fill accounts for. Longer than any burst
+/// takes to fill at a rate that operators may set (one request per hour), and
+/// short enough for the product to fit into 128 bits.
+constexpr base::Duration MaxFillTime = std::chrono::hours(24);
 
 } // namespace
 
@@ -22,7 +22,7 @@
   if (Now <= Last_)
     return;
   const base::Duration Span =
-      std::min<base::Duration>(Now - Last_, LongestFill);
+      std::min<base::Duration>(Now - Last_, MaxFillTime);
   Last_ = Now;
   const base::Int128 Units =
       static_cast<base::Int128>(MicroRate_) * Span.count() + Remainder_;
--- a/libs/budget/TokenBucket.h
+++ b/libs/budget/TokenBucket.h
@@ -7,20 +7,20 @@
 
 namespace lychee::budget {
 
-/// Tokens are counted in billionths of a request, so that rates of less than
-/// one request a second fill exactly.
+/// Tokens are billionths of a request, so that rates below one request per
+/// second fill exactly.
 inline constexpr std::int64_t TokensPerRequest = 1'000'000'000;
 
-/// A token bucket with whole-number arithmetic. It starts empty: a bucket that
-/// started full would hand out a burst at each restart, and a fleet restarted
-/// ten times in a minute would give a customer ten bursts.
-/// Not thread-safe. \see RateShare, which decides its limits.
+/// A token bucket with integer arithmetic. It starts empty: if it started full,
+/// each restart would grant a burst, and a fleet restarted ten times in a
+/// minute would grant a customer ten bursts. Not thread-safe. \see RateShare,
+/// which sets its limits.
 class TokenBucket {
 public:
-  /// \param FirstNow  the time from which it fills.
-  explicit TokenBucket(base::TimePoint FirstNow) noexcept : Last_(FirstNow) {}
+  /// \param Start  the time from which it fills.
+  explicit TokenBucket(base::TimePoint Start) noexcept : Last_(Start) {}
 
-  /// Sets the rate in millionths of a request a second and the burst in
+  /// Sets the rate in millionths of a request per second and the burst in
   /// tokens. Tokens above the new burst are dropped.
   void setLimits(std::int64_t MicroRequestsPerSecond, std::int64_t Burst,
                  base::TimePoint Now) noexcept;
@@ -28,18 +28,19 @@
   /// Takes \p Cost tokens, all or none.
   bool take(std::int64_t Cost, base::TimePoint Now) noexcept;
 
-  /// Takes up to \p Wanted tokens and \returns how many it took.
+  /// Takes up to \p Wanted tokens.
+  /// \returns the number of tokens taken.
   std::int64_t takeUpTo(std::int64_t Wanted, base::TimePoint Now) noexcept;
 
-  /// Adds tokens that a peer took off its own bucket; above the burst they are
-  /// dropped.
+  /// Adds tokens that a peer removed from its bucket. Tokens above the burst
+  /// are dropped.
   void add(std::int64_t Tokens, base::TimePoint Now) noexcept;
 
-  /// \returns the tokens there are at \p Now.
+  /// \returns the number of tokens at \p Now.
   std::int64_t level(base::TimePoint Now) noexcept;
 
-  /// \returns how long until \p Cost tokens are there if none is taken, or
-  /// Duration::max() where they never will be.
+  /// \returns the time until \p Cost tokens are available if none is taken, or
+  /// Duration::max() if they never will be.
   base::Duration timeUntil(std::int64_t Cost, base::TimePoint Now) noexcept;
 
 private:
@@ -48,7 +49,7 @@
   std::int64_t MicroRate_ = 0;
   std::int64_t Burst_ = 0;
   std::int64_t Level_ = 0;
-  /// What the last fill could not turn into a whole token.
+  /// Fraction of a token left by the last fill. \see UnitsPerToken
   std::int64_t Remainder_ = 0;
   base::TimePoint Last_;
 };
--- a/tests/budget/EpochSettlementTest.cpp
+++ b/tests/budget/EpochSettlementTest.cpp
@@ -17,17 +17,17 @@
 
 TEST_GROUP(EpochSettlement){};
 
-TEST(EpochSettlement, theFirstEpochHasNoOlderHolders) {
+TEST(EpochSettlement, theFirstEpochIsSettledAtOnce) {
   EpochSettlement Settlement;
   CHECK_FALSE(Settlement.settled());
   Settlement.begin(1, std::array{One, Two});
   CHECK(Settlement.settled());
 }
 
-// Host two is removed while its lease stands, and a third epoch follows before
-// the second settled. Host two may still use its share of the first, so the
-// third settles only after its lease has run out.
-TEST(EpochSettlement, anEpochInheritsTheOpenHoldersOfTheOneBefore) {
+// Host two is removed while its lease is valid, and a third epoch begins before
+// the second has settled. Host two may still use its share of the first epoch,
+// so that the third one settles only after its lease has expired.
+TEST(EpochSettlement, anEpochInheritsThePendingHostsOfThePreviousOne) {
   EpochSettlement Settlement;
   Settlement.begin(1, std::array{One, Two});
   Settlement.begin(2, std::array{One});
--- a/tests/budget/ShareModel.cpp
+++ b/tests/budget/ShareModel.cpp
@@ -11,10 +11,10 @@
 constexpr double Burst = 24;
 constexpr base::Duration Step = std::chrono::milliseconds(5);
 constexpr base::Duration LeaseTerm = std::chrono::seconds(2);
-/// What the membership service waits beyond a lease for drift and pauses.
+/// Time that the membership service waits beyond a lease for drift and pauses.
 constexpr base::Duration LeaseMargin = std::chrono::milliseconds(50);
-/// Hosts' clocks run by up to this much fast or slow.
-constexpr double LargestDrift = 0.0004;
+/// Maximum drift of a host's clock in either direction.
+constexpr double MaxDrift = 0.0004;
 
 bool chance(base::Random &Source, double Probability) {
   return base::drawUnit(Source) < Probability;
@@ -32,8 +32,8 @@
   const budget::RateTotal Total = budget::RateTotal::fromRequests(Rate, Burst);
   Reference_.setLimits(Total.MicroRequestsPerSecond_, Total.Burst_, Now_);
   Reference_.add(Total.Burst_, Now_);
-  // Lost messages lose budget, and a fleet that has lost budget cannot be
-  // caught exceeding it by little: some worlds are calm on purpose.
+  // Lost messages lose budget, and hosts that have lost budget hide a small
+  // excess, so that some seeds have few or no faults.
   static constexpr std::array<double, 4> Losses = {0, 0, 0.02, 0.1};
   static constexpr std::array<double, 4> FaultRates = {0, 0.5, 1, 2};
   Loss_ = Losses[base::drawBelow(Random_, Losses.size())];
@@ -44,31 +44,31 @@
   beginEpoch();
 }
 
-base::TimePoint ShareModel::localTime(const Host &Of) const {
+base::TimePoint ShareModel::localTime(const Host &Each) const {
   const double True = base::toSeconds(Now_.time_since_epoch());
-  return base::TimePoint(Of.Offset_ +
-                         base::fromSeconds(True * (1 + Of.Drift_)));
+  return base::TimePoint(Each.Offset_ +
+                         base::fromSeconds(True * (1 + Each.Drift_)));
 }
 
-bool ShareModel::isRunning(const Host &Of) const {
-  return !Of.Dead_ && Now_ >= Of.PausedUntil_;
+bool ShareModel::isRunning(const Host &Each) const {
+  return !Each.Dead_ && Now_ >= Each.PausedUntil_;
 }
 
 void ShareModel::startHost() {
-  auto Fresh = std::make_unique<Host>();
-  Fresh->Id_ = base::HostId("host" + std::to_string(NextName_++));
-  Fresh->Book_ = std::make_unique<budget::RateBudgets>(Fresh->Id_);
-  Fresh->Drift_ = (2 * base::drawUnit(Random_) - 1) * LargestDrift;
-  Fresh->Offset_ = std::chrono::seconds(base::drawBelow(Random_, 1000));
+  auto Added = std::make_unique<Host>();
+  Added->Id_ = base::HostId("host" + std::to_string(NextName_++));
+  Added->Budgets_ = std::make_unique<budget::RateBudgets>(Added->Id_);
+  Added->Drift_ = (2 * base::drawUnit(Random_) - 1) * MaxDrift;
+  Added->Offset_ = std::chrono::seconds(base::drawBelow(Random_, 1000));
   static constexpr std::array<double, 4> Loads = {2, 20, 60, 300};
-  Fresh->RequestsPerSecond_ = Loads[base::drawBelow(Random_, Loads.size())];
-  Fresh->Book_->setTotal(Budget, budget::RateTotal::fromRequests(Rate, Burst),
-                         localTime(*Fresh));
-  Hosts_.push_back(std::move(Fresh));
+  Added->RequestsPerSecond_ = Loads[base::drawBelow(Random_, Loads.size())];
+  Added->Budgets_->setTotal(
+      Budget, budget::RateTotal::fromRequests(Rate, Burst), localTime(*Added));
+  Hosts_.push_back(std::move(Added));
 }
 
-/// Loses some messages, doubles one in ten, and delays each by its own time,
-/// so that they cross.
+/// Loses some messages, duplicates one in ten, and delays each by a random
+/// time, so that they are reordered.
 void ShareModel::send(std::function<void()> Deliver) {
   if (chance(Random_, Loss_))
     return;
@@ -89,8 +89,8 @@
   }
 }
 
-/// The membership service writes a new epoch: every live host, and a paused
-/// one as long as nobody has missed it.
+/// The membership service begins a new epoch with every running host. A paused
+/// host is sometimes kept, as if its pause had not been detected yet.
 void ShareModel::beginEpoch() {
   ++Epoch_;
   std::vector<base::HostId> Members;
@@ -100,57 +100,60 @@
       Members.push_back(Each->Id_);
   }
   Settlement_.begin(Epoch_, Members);
-  SettledNow_ = false;
+  EpochSettled_ = false;
 }
 
-/// One host reads the epoch. Its lease runs from the reading's start by its own
-/// clock, and at the service from the answer, which is never earlier.
-void ShareModel::tellEpoch(Host &To) {
-  if (!isRunning(To) || !To.Member_)
+/// A host reads the epoch. By its own clock its lease runs from the start of
+/// the read, and at the service from the response, which is never earlier.
+void ShareModel::announceEpoch(Host &Receiver) {
+  if (!isRunning(Receiver) || !Receiver.Member_)
     return;
-  const std::uint64_t Told = Epoch_;
+  const std::uint64_t Announced = Epoch_;
   std::uint32_t Members = 0;
   for (const auto &Each : Hosts_)
     Members += Each->Member_ ? 1U : 0U;
-  const base::TimePoint Until = localTime(To) + LeaseTerm;
-  To.LeaseEnds_ = std::max(To.LeaseEnds_, Now_ + LeaseTerm);
-  send([this, &To, Told, Members, Until] {
-    if (!isRunning(To))
+  const base::TimePoint Until = localTime(Receiver) + LeaseTerm;
+  Receiver.LeaseEnds_ = std::max(Receiver.LeaseEnds_, Now_ + LeaseTerm);
+  send([this, &Receiver, Announced, Members, Until] {
+    if (!isRunning(Receiver))
       return;
-    To.Book_->enterEpoch({Told, Members, Until}, localTime(To));
-    To.Entered_ = std::max(To.Entered_, Told);
-    send([this, &To, Told] { Settlement_.acknowledge(To.Id_, Told); });
+    Receiver.Budgets_->enterEpoch({Announced, Members, Until},
+                                  localTime(Receiver));
+    Receiver.Entered_ = std::max(Receiver.Entered_, Announced);
+    send([this, &Receiver, Announced] {
+      Settlement_.acknowledge(Receiver.Id_, Announced);
+    });
   });
 }
 
-/// The service renews only a member of the epoch in force.
-void ShareModel::renew(Host &Of) {
-  if (!isRunning(Of) || !Of.Member_)
+/// The service renews only members of the current epoch.
+void ShareModel::renew(Host &Each) {
+  if (!isRunning(Each) || !Each.Member_)
     return;
-  const std::uint64_t InForce = Epoch_;
-  const base::TimePoint Until = localTime(Of) + LeaseTerm;
-  Of.LeaseEnds_ = std::max(Of.LeaseEnds_, Now_ + LeaseTerm);
-  send([this, &Of, InForce, Until] {
-    if (isRunning(Of))
-      Of.Book_->renewLease(InForce, Until, localTime(Of));
+  const std::uint64_t Current = Epoch_;
+  const base::TimePoint Until = localTime(Each) + LeaseTerm;
+  Each.LeaseEnds_ = std::max(Each.LeaseEnds_, Now_ + LeaseTerm);
+  send([this, &Each, Current, Until] {
+    if (isRunning(Each))
+      Each.Budgets_->renewLease(Current, Until, localTime(Each));
   });
 }
 
-void ShareModel::settleWhereDue() {
+void ShareModel::settleIfDue() {
   for (const auto &Each : Hosts_)
     if (!Each->Member_ && Now_ > Each->LeaseEnds_ + LeaseMargin)
       Settlement_.recordLeaseEnd(Each->Id_);
   if (!Settlement_.settled())
     return;
-  if (!SettledNow_)
+  if (!EpochSettled_)
     ++SettledEpochs_;
-  SettledNow_ = true;
+  EpochSettled_ = true;
   const std::uint64_t Settled = Epoch_;
   for (const auto &Each : Hosts_) {
-    Host &To = *Each;
-    send([this, &To, Settled] {
-      if (isRunning(To))
-        To.Book_->settle(Settled, localTime(To));
+    Host &Receiver = *Each;
+    send([this, &Receiver, Settled] {
+      if (isRunning(Receiver))
+        Receiver.Budgets_->settle(Settled, localTime(Receiver));
     });
   }
 }
@@ -162,7 +165,8 @@
     At.NextRequest_ =
         std::max(At.NextRequest_, Now_ - Step) +
         base::fromSeconds(2 * base::drawUnit(Random_) / At.RequestsPerSecond_);
-    const budget::SpendOutcome Outcome = At.Book_->spend(Budget, localTime(At));
+    const budget::SpendOutcome Outcome =
+        At.Budgets_->spend(Budget, localTime(At));
     if (Outcome.Result_ != budget::SpendResult::Granted)
       continue;
     ++Granted_;
@@ -171,30 +175,30 @@
   }
 }
 
-void ShareModel::exchange(Host &Asker) {
-  if (!isRunning(Asker))
+void ShareModel::exchange(Host &Requester) {
+  if (!isRunning(Requester))
     return;
-  for (const budget::ShareRequest &Asked :
-       Asker.Book_->dueRequests(localTime(Asker))) {
+  for (const budget::ShareRequest &Request :
+       Requester.Budgets_->dueRequests(localTime(Requester))) {
     Host &Donor = *Hosts_[base::drawBelow(
         Random_, static_cast<std::uint32_t>(Hosts_.size()))];
-    send([this, &Donor, &Asker, Asked] {
+    send([this, &Donor, &Requester, Request] {
       if (!isRunning(Donor))
         return;
-      const auto Given = Donor.Book_->donate(Asked, localTime(Donor));
-      if (!Given)
+      const auto Donated = Donor.Budgets_->donate(Request, localTime(Donor));
+      if (!Donated)
         return;
       ++Transfers_;
-      send([this, &Asker, Given] {
-        if (isRunning(Asker))
-          Asker.Book_->accept(*Given, localTime(Asker));
+      send([this, &Requester, Donated] {
+        if (isRunning(Requester))
+          Requester.Budgets_->accept(*Donated, localTime(Requester));
       });
     });
   }
 }
 
-void ShareModel::misbehave() {
-  // Epochs come one by one, and now and then two within a lease.
+void ShareModel::injectFaults() {
+  // Epochs change one by one, and sometimes twice within a lease.
   const bool Soon = Now_ < LastEpoch_ + std::chrono::milliseconds(500);
   if (chance(Random_, (Soon ? 0.01 : 0.002) * Faults_)) {
     LastEpoch_ = Now_;
@@ -209,7 +213,7 @@
   if (chance(Random_, 0.001 * Faults_))
     Any.PausedUntil_ =
         Now_ + between(Random_, Step, std::chrono::milliseconds(6000));
-  // Quiet times fill the buckets, and the rushes after them empty them.
+  // Low load fills the buckets, and the peaks after it empty them.
   if (chance(Random_, 0.004)) {
     static constexpr std::array<double, 5> Loads = {0.2, 1, 30, 100, 600};
     Any.RequestsPerSecond_ = Loads[base::drawBelow(Random_, Loads.size())];
@@ -221,19 +225,19 @@
   while (Now_ < End && !Violated_) {
     Now_ += Step;
     deliverDue();
-    misbehave();
+    injectFaults();
     const bool Often = chance(Random_, 0.05);
     for (std::size_t Index = 0; Index < Hosts_.size(); ++Index) {
       Host &Each = *Hosts_[Index];
       request(Each);
       exchange(Each);
       if (Often && Each.Entered_ < Epoch_)
-        tellEpoch(Each);
+        announceEpoch(Each);
       if (chance(Random_, 0.01))
         renew(Each);
     }
     if (Often)
-      settleWhereDue();
+      settleIfDue();
   }
   return !Violated_;
 }
--- a/tests/budget/ShareModel.h
+++ b/tests/budget/ShareModel.h
@@ -16,17 +16,18 @@
 
 namespace lychee::tests {
 
-/// Hosts that share one customer's budget in virtual time, over messages that
-/// are lost, late, doubled and crossed, with pauses, crashes, clocks that
-/// drift, and membership epochs. A reference bucket of the whole total watches
-/// what they let in together: it overflows exactly when in some window more
-/// was let in than rate times window plus burst.
+/// Simulates hosts that share one customer's budget in virtual time: messages
+/// are lost, delayed, duplicated and reordered, hosts pause and crash, clocks
+/// drift, and membership epochs change. A reference bucket with the total rate
+/// and burst checks what the hosts admit together: it runs out of tokens
+/// exactly if in some period more was admitted than the rate times the period
+/// plus the burst.
 class ShareModel {
 public:
   explicit ShareModel(std::uint64_t Seed);
 
-  /// Plays \p Span of virtual time.
-  /// \returns false where more than the total was let in.
+  /// Simulates \p Span of virtual time.
+  /// \returns false if more than the total was admitted.
   bool run(base::Duration Span);
 
   std::uint64_t granted() const noexcept { return Granted_; }
@@ -37,13 +38,13 @@
 private:
   struct Host {
     base::HostId Id_;
-    std::unique_ptr<budget::RateBudgets> Book_;
+    std::unique_ptr<budget::RateBudgets> Budgets_;
     double Drift_ = 0;
     base::Duration Offset_{};
     base::TimePoint PausedUntil_;
     base::TimePoint NextRequest_;
     double RequestsPerSecond_ = 1;
-    /// When the membership service holds the lease to end, in true time.
+    /// Lease expiry as the membership service sees it, in true time.
     base::TimePoint LeaseEnds_;
     std::uint64_t Entered_ = 0;
     bool Dead_ = false;
@@ -55,18 +56,18 @@
     std::function<void()> Deliver_;
   };
 
-  base::TimePoint localTime(const Host &Of) const;
-  bool isRunning(const Host &Of) const;
+  base::TimePoint localTime(const Host &Each) const;
+  bool isRunning(const Host &Each) const;
   void send(std::function<void()> Deliver);
   void deliverDue();
   void startHost();
   void beginEpoch();
-  void tellEpoch(Host &To);
-  void renew(Host &Of);
-  void settleWhereDue();
+  void announceEpoch(Host &Receiver);
+  void renew(Host &Each);
+  void settleIfDue();
   void request(Host &At);
-  void exchange(Host &Asker);
-  void misbehave();
+  void exchange(Host &Requester);
+  void injectFaults();
 
   base::Random Random_;
   base::TimePoint Now_{std::chrono::seconds(100)};
@@ -77,13 +78,13 @@
   std::uint64_t Epoch_ = 0;
   base::TimePoint LastEpoch_;
   std::uint64_t SettledEpochs_ = 0;
-  bool SettledNow_ = false;
+  bool EpochSettled_ = false;
   std::uint64_t Granted_ = 0;
   std::uint64_t Transfers_ = 0;
   std::uint64_t NextName_ = 1;
   bool Violated_ = false;
 
-  // How rough this seed's world is.
+  // Fault rates of this seed.
   double Loss_ = 0;
   double Faults_ = 1;
 };
--- a/tests/budget/SharePropertyTest.cpp
+++ b/tests/budget/SharePropertyTest.cpp
@@ -8,22 +8,22 @@
 
 namespace {
 
-/// Seeds played by the tests; LYCHEE_PROPERTY_SEEDS asks for more.
+/// Number of seeds; LYCHEE_PROPERTY_SEEDS overrides the default.
 std::uint64_t seedCount() {
-  const char *Asked = std::getenv("LYCHEE_PROPERTY_SEEDS");
-  return Asked == nullptr ? 300 : std::strtoull(Asked, nullptr, 10);
+  const char *Override = std::getenv("LYCHEE_PROPERTY_SEEDS");
+  return Override == nullptr ? 300 : std::strtoull(Override, nullptr, 10);
 }
 
 } // namespace
 
 TEST_GROUP(ShareProperty){};
 
-// Callers of one customer see every host let requests in, and together more
-// than the customer's rate and burst.
-// Asks, transfers, epochs and renewals are lost, late, doubled and crossed;
-// hosts pause past their lease, die and come new; clocks drift.
-// No order of these may let more in, in any window, than rate times the window
-// plus burst. tools/mutation-check breaks each rule in turn and sees this fail.
+// Guards against all hosts together admitting more than a customer's rate and
+// burst. Requests for shares, transfers, epochs and lease renewals are lost,
+// delayed, duplicated and reordered; hosts pause beyond their leases, die and
+// start; clocks drift. In any period no more than the rate times the period
+// plus the burst may be admitted. tools/mutation-check breaks each rule in turn
+// and expects this test to fail.
 TEST(ShareProperty, allHostsTogetherNeverExceedRateAndBurst) {
   std::uint64_t Granted = 0;
   std::uint64_t Transfers = 0;
@@ -36,7 +36,7 @@
     Transfers += Model.transfers();
     Settled += Model.settledEpochs();
   }
-  // The schedules must not hold because nothing happened in them.
+  // The property must not hold merely because nothing happened.
   CHECK(Granted > 500 * seedCount());
   CHECK(Transfers > 20 * seedCount());
   CHECK(Settled > 2 * seedCount());
--- a/tests/budget/SlotShareTest.cpp
+++ b/tests/budget/SlotShareTest.cpp
@@ -33,24 +33,24 @@
   LONGS_EQUAL(0, Share.inUse());
 }
 
-// A host is asked for slots while all but one of its own are in use.
-// Giving away a slot in use would let the receiver put a second request on it.
-TEST(SlotShare, slotsInUseAreNeverGivenAway) {
+// A peer requests more slots than the host has free. Donating a slot in use
+// would let the receiver run a second request on it.
+TEST(SlotShare, slotsInUseAreNeverDonated) {
   SlotShare Donor = makeShare("one", 80, 8);
   CHECK(Donor.acquire(8, Start));
   SlotShare Receiver = makeShare("two", 80, 8);
-  const auto Given = Donor.donate(base::HostId("two"), 10, Start);
-  CHECK(Given.has_value());
-  CHECK(Receiver.accept(Given.value_or(budget::Transfer()), Start));
+  const auto Donated = Donor.donate(base::HostId("two"), 10, Start);
+  CHECK(Donated.has_value());
+  CHECK(Receiver.accept(Donated.value_or(budget::Transfer()), Start));
   LONGS_EQUAL(0, Donor.spare(Start));
   LONGS_EQUAL(12, Receiver.spare(Start));
   CHECK_FALSE(Donor.donate(base::HostId("two"), 1, Start).has_value());
 }
 
-// A new epoch halves a host's share while it has more than that in use.
-// Its running work ends on its own; until then it takes nothing new, and the
-// others wait with their larger shares.
-TEST(SlotShare, aSmallerAllotmentWaitsForRunningWork) {
+// A new epoch halves a host's share while more slots than that are in use.
+// Running requests are not interrupted; until enough of them have ended the
+// host acquires no slot, and the others do not get their larger shares yet.
+TEST(SlotShare, aSmallerAllotmentWaitsForRunningRequests) {
   SlotShare Share = makeShare("one", 80, 4);
   CHECK(Share.acquire(15, Start));
   const budget::ShareAmount Smaller = budget::equalShare(8);
