--- a/libs/members/DatagramSocket.cpp
+++ b/libs/members/DatagramSocket.cpp
@@ -12,7 +12,8 @@
 namespace {
 
 constexpr auto AsTuple = asio::as_tuple(asio::use_awaitable);
-/// A receive that fails at once again and again must not take the processor.
+/// Pause after a failed receive, so that a socket that fails repeatedly does
+/// not spin.
 constexpr std::chrono::milliseconds FailurePause(50);
 
 } // namespace
@@ -44,7 +45,8 @@
 
 asio::awaitable<void> receiveDatagrams(
     udp::socket &Socket, std::span<char> Buffer,
-    const std::function<void(std::string_view, const udp::endpoint &)> &Take) {
+    const std::function<void(std::string_view, const udp::endpoint &)>
+        &OnDatagram) {
   asio::steady_timer Pause(Socket.get_executor());
   while (true) {
     udp::endpoint Sender;
@@ -55,7 +57,7 @@
       co_await Pause.async_wait(AsTuple);
       continue;
     }
-    Take({Buffer.data(), Count}, Sender);
+    OnDatagram({Buffer.data(), Count}, Sender);
   }
 }
 
--- a/libs/members/DatagramSocket.h
+++ b/libs/members/DatagramSocket.h
@@ -13,23 +13,24 @@
 
 namespace lychee::members {
 
-/// Opens \p Socket at \p Listen, non-blocking. \returns false, and \p Last
-/// filled with \p Step, where the address cannot be had.
+/// Opens \p Socket as a non-blocking UDP socket bound to \p Listen.
+/// \returns false and fills \p Last, with \p Step as its step, if the address
+/// cannot be bound.
 bool openDatagramSocket(boost::asio::ip::udp::socket &Socket,
                         const settings::Endpoint &Listen, const char *Step,
                         base::Error &Last);
 
-/// Sends \p Text to a host. A datagram that does not go out is one that was
-/// lost: whoever sends it sends others, or asks once more.
+/// Sends \p Text to a host. Errors are ignored: a datagram that cannot be sent
+/// counts as lost, and callers either send periodically or retry.
 void sendDatagram(boost::asio::ip::udp::socket &Socket, std::string_view Text,
                   const std::string &Address, std::uint16_t Port);
 
-/// Hands each datagram that comes to \p Take, until the executor ends.
-/// \param Buffer,Take  outlive this.
+/// Passes each received datagram to \p OnDatagram until the executor ends.
+/// \param Buffer,OnDatagram must outlive the coroutine.
 boost::asio::awaitable<void> receiveDatagrams(
     boost::asio::ip::udp::socket &Socket, std::span<char> Buffer,
-    const std::function<void(std::string_view,
-                             const boost::asio::ip::udp::endpoint &)> &Take);
+    const std::function<void(
+        std::string_view, const boost::asio::ip::udp::endpoint &)> &OnDatagram);
 
 } // namespace lychee::members
 
--- a/libs/members/DemandDeltaEncoder.cpp
+++ b/libs/members/DemandDeltaEncoder.cpp
@@ -5,27 +5,28 @@
 namespace lychee::members {
 
 DemandUpdate DemandDeltaEncoder::encode(std::span<const CustomerDemand> All,
-                                        bool Whole) {
+                                        bool Full) {
   std::map<base::CustomerId, double> Demands;
-  for (const CustomerDemand &Each : All)
-    Demands.emplace(Each.Customer_, Each.RequestsPerSecond_);
-  if (Whole || All.size() <= WholeUpTo_) {
-    Told_ = std::move(Demands);
+  for (const CustomerDemand &Demand : All)
+    Demands.emplace(Demand.Customer_, Demand.RequestsPerSecond_);
+  if (Full || All.size() <= FullUpTo_) {
+    LastFull_ = std::move(Demands);
     return {true, {All.begin(), All.end()}};
   }
   DemandUpdate Changed{false, {}};
-  const auto Tell = [&](const base::CustomerId &Customer, double Before,
-                        double Is) {
-    if (std::abs(Is - Before) > Noise + NoisePart * Before)
-      Changed.Demands_.push_back({Customer, Is});
+  const auto AddIfChanged = [&](const base::CustomerId &Customer,
+                                double Previous, double Current) {
+    if (std::abs(Current - Previous) > MinChange + MinChangeRatio * Previous)
+      Changed.Demands_.push_back({Customer, Current});
   };
-  for (const auto &[Customer, Is] : Demands) {
-    const auto Before = Told_.find(Customer);
-    Tell(Customer, Before == Told_.end() ? 0 : Before->second, Is);
+  for (const auto &[Customer, Current] : Demands) {
+    const auto Previous = LastFull_.find(Customer);
+    AddIfChanged(Customer, Previous == LastFull_.end() ? 0 : Previous->second,
+                 Current);
   }
-  for (const auto &[Customer, Before] : Told_)
+  for (const auto &[Customer, Previous] : LastFull_)
     if (!Demands.contains(Customer))
-      Tell(Customer, Before, 0);
+      AddIfChanged(Customer, Previous, 0);
   return Changed;
 }
 
--- a/libs/members/DemandDeltaEncoder.h
+++ b/libs/members/DemandDeltaEncoder.h
@@ -9,46 +9,48 @@
 
 namespace lychee::members {
 
-/// What a heartbeat tells of demands.
+/// The customer demands that one heartbeat carries.
 struct DemandUpdate {
-  /// They are all there are; else those that changed since the last whole.
+  /// Whether Demands_ holds all demands; otherwise only those that changed
+  /// since the last full update.
   bool IsFull_ = true;
   std::vector<CustomerDemand> Demands_;
 };
 
-/// Chooses which customers' demands a heartbeat tells.
+/// Selects the customer demands that a heartbeat carries.
 ///
 /// Load pattern: hosts of a region x hosts x customers. Most demands are small
-/// and stay what they are, so every fourth heartbeat tells all, and those
-/// between only what has changed since then. A heartbeat that is lost is made
-/// up for by the next.
+/// and constant, so every fourth heartbeat carries all of them and the ones in
+/// between only the changes since then. A lost heartbeat is compensated by the
+/// next one.
 ///
-/// What is told late costs: hosts divide a rate by demands of different age.
-/// Few customers are therefore always told whole (RateDivisionTest: of a small
-/// customer's requests within its rate 3.0 in 100 are refused with wholes, 3.5
-/// with changes).
+/// Late updates have a cost, because hosts then divide a rate by demands of
+/// different age. Small sets of customers are therefore always sent in full
+/// (RateDivisionTest: of a small customer's requests within its rate, 3.0 in
+/// 100 are refused with full updates and 3.5 with deltas).
 class DemandDeltaEncoder {
 public:
-  /// Changes smaller than this, in requests a second plus a part of what was
-  /// told, are chance: one request more weighs 0.5 in the demand's average.
-  static constexpr double Noise = 0.5;
-  static constexpr double NoisePart = 0.05;
-  /// Every so many heartbeats tell all demands.
+  /// Smallest change that is sent: MinChange requests per second plus
+  /// MinChangeRatio of the last full value. Smaller changes are noise; one
+  /// request more adds 0.5 to the demand's average.
+  static constexpr double MinChange = 0.5;
+  static constexpr double MinChangeRatio = 0.05;
+  /// Every FullEvery-th heartbeat carries all demands.
   static constexpr std::uint64_t FullEvery = 4;
-  /// So many customers are always told: some 300 bytes.
+  /// Up to this many customers are always sent in full (about 300 bytes).
   static constexpr std::size_t AlwaysFullUpTo = 16;
 
   explicit DemandDeltaEncoder(std::size_t WholeUpTo = AlwaysFullUpTo) noexcept
-      : WholeUpTo_(WholeUpTo) {}
+      : FullUpTo_(WholeUpTo) {}
 
-  /// \returns what to tell: \p All where \p Whole or where they are few, else
-  /// what differs from the last whole; what is no longer in \p All is told as
-  /// 0.
-  DemandUpdate encode(std::span<const CustomerDemand> All, bool Whole);
+  /// \returns the update to send: \p All if \p Full is set or there are few
+  /// customers; otherwise the demands that differ from the last full update.
+  /// Customers that are no longer in \p All are sent with a demand of 0.
+  DemandUpdate encode(std::span<const CustomerDemand> All, bool Full);
 
 private:
-  const std::size_t WholeUpTo_;
-  std::map<base::CustomerId, double> Told_;
+  const std::size_t FullUpTo_;
+  std::map<base::CustomerId, double> LastFull_;
 };
 
 } // namespace lychee::members
--- a/libs/members/EntryPolicy.cpp
+++ b/libs/members/EntryPolicy.cpp
@@ -11,98 +11,102 @@
 namespace {
 
 using Filter = std::function<bool(const HostDescriptor &)>;
-using Cards = std::vector<const HostDescriptor *>;
+using Descriptors = std::vector<const HostDescriptor *>;
 
-bool serves(const HostView &Each) {
-  return Each.Alive_ && Each.Ready_ && !Each.Leaving_;
+bool isServing(const HostView &Host) {
+  return Host.Alive_ && Host.Ready_ && !Host.Leaving_;
 }
 
-Cards serving(const Filter &Wanted, const HostDescriptor &Self,
-              const LocalHostState &Own, std::span<const HostView> Others) {
-  Cards Found;
-  if (Own.Ready_ && !Own.Leaving_ && !Own.CutOff_ && Wanted(Self))
+Descriptors servingHosts(const Filter &Matches, const HostDescriptor &Self,
+                         const LocalHostState &Local,
+                         std::span<const HostView> Others) {
+  Descriptors Found;
+  if (Local.Ready_ && !Local.Leaving_ && !Local.CutOff_ && Matches(Self))
     Found.push_back(&Self);
-  for (const HostView &Each : Others)
-    if (serves(Each) && Wanted(Each.Descriptor_))
-      Found.push_back(&Each.Descriptor_);
+  for (const HostView &Host : Others)
+    if (isServing(Host) && Matches(Host.Descriptor_))
+      Found.push_back(&Host.Descriptor_);
   return Found;
 }
 
-/// When nobody is known to be ready, a host that is alive may be soon; and
-/// where this host is the one that was cut off, the others were well.
-Cards hopeful(const HostDescriptor &Self, const LocalHostState &Own,
-              std::span<const HostView> Others) {
-  Cards Found;
-  for (const HostView &Each : Others)
-    if (!Each.Leaving_ && (Each.Alive_ || Own.CutOff_))
-      Found.push_back(&Each.Descriptor_);
-  if (!Own.Leaving_ && !Own.CutOff_)
+/// Used if no host is known to be ready: a live host may become ready soon, and
+/// if this host is the isolated one, the others were fine when last seen.
+Descriptors fallbackHosts(const HostDescriptor &Self,
+                          const LocalHostState &Local,
+                          std::span<const HostView> Others) {
+  Descriptors Found;
+  for (const HostView &Host : Others)
+    if (!Host.Leaving_ && (Host.Alive_ || Local.CutOff_))
+      Found.push_back(&Host.Descriptor_);
+  if (!Local.Leaving_ && !Local.CutOff_)
     Found.push_back(&Self);
   return Found;
 }
 
-/// The same order at all hosts, and another one for each name.
-void sortByHash(Cards &All, std::string_view Name) {
-  const std::uint64_t Matter = base::stableHash(Name);
+/// Sorts by a hash that is the same on all hosts and differs between names.
+void sortByHash(Descriptors &All, std::string_view Name) {
+  const std::uint64_t Seed = base::stableHash(Name);
   std::sort(All.begin(), All.end(),
-            [Matter](const HostDescriptor *Left, const HostDescriptor *Right) {
-              return base::stableHash(Left->Host_.name(), Matter) <
-                     base::stableHash(Right->Host_.name(), Matter);
+            [Seed](const HostDescriptor *Left, const HostDescriptor *Right) {
+              return base::stableHash(Left->Host_.name(), Seed) <
+                     base::stableHash(Right->Host_.name(), Seed);
             });
 }
 
-/// Where there are more hosts than a caller takes: a stretch of all hosts in
-/// one order. Zones begin at even distances, so that together they cover all
-/// hosts as evenly as they can; where that is not all, the hosts that answer
-/// begin at different places, too.
-Cards stretchOf(Cards All, const EntryQuery &Asked,
-                const HostDescriptor &Self) {
-  if (All.size() <= Asked.MaxEntries_)
+/// Deterministic subsetting: if there are more hosts than a caller takes,
+/// selects a contiguous range of all hosts in hash order. The ranges of
+/// different zones begin at equal distances, so that together they cover the
+/// hosts as evenly as possible. If they cannot cover all hosts, answering hosts
+/// also begin at different offsets.
+Descriptors subsetFor(Descriptors All, const EntryQuery &Query,
+                      const HostDescriptor &Self) {
+  if (All.size() <= Query.MaxEntries_)
     return All;
-  sortByHash(All, Asked.Name_);
-  std::set<base::ZoneId> Zones = {Asked.Zone_};
-  for (const HostDescriptor *Each : All)
-    Zones.insert(Each->Zone_);
-  const auto Place = static_cast<std::size_t>(
-      std::distance(Zones.begin(), Zones.find(Asked.Zone_)));
-  const std::size_t Covered = Zones.size() * Asked.MaxEntries_;
-  const std::size_t Turns = (All.size() + Covered - 1) / Covered;
-  const std::size_t Turn = base::stableHash(Self.Host_.name()) % Turns;
-  const std::size_t Begin =
-      (Place * Turns + Turn) * All.size() / (Zones.size() * Turns);
-  std::rotate(All.begin(), All.begin() + static_cast<std::ptrdiff_t>(Begin),
+  sortByHash(All, Query.Name_);
+  std::set<base::ZoneId> Zones = {Query.Zone_};
+  for (const HostDescriptor *Host : All)
+    Zones.insert(Host->Zone_);
+  const auto ZoneIndex = static_cast<std::size_t>(
+      std::distance(Zones.begin(), Zones.find(Query.Zone_)));
+  const std::size_t Covered = Zones.size() * Query.MaxEntries_;
+  const std::size_t Rotations = (All.size() + Covered - 1) / Covered;
+  const std::size_t Rotation = base::stableHash(Self.Host_.name()) % Rotations;
+  const std::size_t First = (ZoneIndex * Rotations + Rotation) * All.size() /
+                            (Zones.size() * Rotations);
+  std::rotate(All.begin(), All.begin() + static_cast<std::ptrdiff_t>(First),
               All.end());
-  All.resize(Asked.MaxEntries_);
+  All.resize(Query.MaxEntries_);
   return All;
 }
 
-std::vector<std::string> callersOf(const Cards &All) {
+std::vector<std::string> callerAddresses(const Descriptors &All) {
   std::vector<std::string> Found;
-  for (const HostDescriptor *Each : All)
-    Found.push_back(Each->CallerAddress_);
+  for (const HostDescriptor *Host : All)
+    Found.push_back(Host->CallerAddress_);
   return Found;
 }
 
 } // namespace
 
-std::vector<std::string> chooseEntries(const EntryQuery &Asked,
+std::vector<std::string> chooseEntries(const EntryQuery &Query,
                                        const HostDescriptor &Self,
-                                       const LocalHostState &Own,
+                                       const LocalHostState &Local,
                                        std::span<const HostView> Others) {
-  const Filter InRegion = [&Asked](const HostDescriptor &Card) {
-    return Card.Region_ == Asked.Region_;
+  const Filter InRegion = [&Query](const HostDescriptor &Host) {
+    return Host.Region_ == Query.Region_;
   };
-  const Filter AtHome = [&Asked](const HostDescriptor &Card) {
-    return std::find(Asked.Homes_.begin(), Asked.Homes_.end(), Card.Region_) !=
-           Asked.Homes_.end();
+  const Filter InHomeRegion = [&Query](const HostDescriptor &Host) {
+    return std::find(Query.Homes_.begin(), Query.Homes_.end(), Host.Region_) !=
+           Query.Homes_.end();
   };
   const Filter Anywhere = [](const HostDescriptor &) { return true; };
-  for (const Filter &Wanted : {InRegion, AtHome, Anywhere}) {
-    const Cards Found = serving(Wanted, Self, Own, Others);
+  for (const Filter &Matches : {InRegion, InHomeRegion, Anywhere}) {
+    const Descriptors Found = servingHosts(Matches, Self, Local, Others);
     if (!Found.empty())
-      return callersOf(stretchOf(Found, Asked, Self));
+      return callerAddresses(subsetFor(Found, Query, Self));
   }
-  return callersOf(stretchOf(hopeful(Self, Own, Others), Asked, Self));
+  return callerAddresses(
+      subsetFor(fallbackHosts(Self, Local, Others), Query, Self));
 }
 
 } // namespace lychee::members
--- a/libs/members/EntryPolicy.h
+++ b/libs/members/EntryPolicy.h
@@ -9,42 +9,43 @@
 
 namespace lychee::members {
 
-/// Who asks where to connect.
+/// A caller's question which hosts to connect to.
 struct EntryQuery {
   base::RegionId Region_;
   base::ZoneId Zone_;
-  /// Regions to prefer where the caller's own has no host; empty: any.
+  /// Regions to prefer if the caller's own region has no host; empty: any.
   std::vector<base::RegionId> Homes_;
-  /// Host name that the caller's requests go to.
+  /// Host name that the caller's requests are addressed to.
   std::string Name_;
-  /// Callers take no more hosts than this.
+  /// Largest number of hosts in the answer.
   std::size_t MaxEntries_ = 64;
 };
 
-/// This host, as far as callers may be sent to it.
+/// State of this host that decides whether callers may be sent to it.
 struct LocalHostState {
   bool Ready_ = false;
   bool Leaving_ = false;
-  /// It can reach neither the store nor most hosts, so callers do better
-  /// elsewhere.
+  /// Whether the host can reach neither the store nor most other hosts, so that
+  /// callers are better served elsewhere.
   bool CutOff_ = false;
 };
 
-/// Chooses the hosts that a caller is told.
+/// Selects the hosts that a caller may connect to.
 ///
-/// Load pattern: callers keep what they are told for seconds, and spread their
-/// connections over it by chance. A dead host in the answer costs each of them
-/// a failed connect, a far one costs each request its way; too few hosts put a
-/// region's callers on one that may die next.
+/// Load pattern: callers cache the answer for seconds and spread their
+/// connections over it at random. A dead host in the answer costs each caller a
+/// failed connect, and a distant one adds latency to each request. Too few
+/// hosts concentrate a region's callers on one that may die next.
 ///
-/// Hosts of the caller's region that are alive, ready and not leaving; where
-/// there are none, those of the homes, then all others. Where they are more
-/// than a caller takes, zones and names are told different ones, so that the
-/// fleet's callers use all of them, and the same caller the same each time.
-/// \returns their caller addresses; none where nobody can be named.
-std::vector<std::string> chooseEntries(const EntryQuery &Asked,
+/// Candidates are the hosts of the caller's region that are alive, ready and
+/// not leaving; if there are none, those of the home regions, then all others.
+/// If there are more candidates than MaxEntries_, zones and host names get
+/// different subsets, so that together callers use all hosts, and the same
+/// caller gets the same subset each time.
+/// \returns the caller addresses of the selected hosts; empty if there is none.
+std::vector<std::string> chooseEntries(const EntryQuery &Query,
                                        const HostDescriptor &Self,
-                                       const LocalHostState &Own,
+                                       const LocalHostState &Local,
                                        std::span<const HostView> Others);
 
 } // namespace lychee::members
--- a/libs/members/Heartbeat.h
+++ b/libs/members/Heartbeat.h
@@ -13,84 +13,87 @@
 
 namespace lychee::members {
 
-/// How much a customer asks of a host.
+/// Demand of a customer at one host.
 struct CustomerDemand {
   base::CustomerId Customer_;
-  /// Requests a second over the last seconds, refused ones included.
+  /// Requests per second over the last seconds, including refused ones.
   double RequestsPerSecond_ = 0;
 };
 
-/// How many slots of a service a host's callers keep busy, wherever they run.
+/// Number of slots of a service that a host's callers keep busy, in whichever
+/// region the requests run.
 struct ServiceDemand {
   base::ServiceId Service_;
   double Slots_ = 0;
-  /// The one region in which these requests may run; empty: they are free.
+  /// The only region in which these requests may run; empty: any region.
   base::RegionId BoundTo_;
 };
 
-/// How long requests of a rule run, as a host learned.
+/// Execution times of a rule's requests as learned by a host.
 struct RuleExecutionTimes {
   std::string Rule_;
   double WarmSeconds_ = 0;
   double ColdSeconds_ = 0;
-  /// The mean of all runs.
+  /// Mean over all executions.
   double UsualSeconds_ = 0;
 };
 
-/// So many rules are told of: some 30 bytes each, in one datagram.
+/// Largest number of rules in a heartbeat: about 30 bytes each, all in one
+/// datagram.
 inline constexpr std::size_t MaxRuleExecutionTimes = 64;
 
-/// Who a host is, and where callers and other hosts reach it.
+/// Identity of a host, and the addresses at which callers and other hosts reach
+/// it.
 struct HostDescriptor {
   base::HostId Host_;
   base::RegionId Region_;
   base::ZoneId Zone_;
-  /// IP of the host; all hosts use one port for heartbeats.
+  /// IP of the host; all hosts use the same port for heartbeats.
   std::string Address_;
   /// IP:PORT for callers.
   std::string CallerAddress_;
-  /// Rises with each start of the host.
+  /// Increases with each start of the host.
   std::uint64_t Incarnation_ = 0;
 
   bool operator==(const HostDescriptor &) const = default;
 };
 
-/// What one host tells the others a few times a second. A datagram each: one
-/// that is lost is made up for by the next.
+/// State that a host sends to the others a few times per second, one datagram
+/// each. A lost heartbeat is compensated by the next one.
 struct Heartbeat {
   HostDescriptor Sender_;
-  /// Else From_ tells host and start alone: the rest was told before, and is
-  /// half of what a heartbeat holds.
+  /// If not set, Sender_ holds only host and incarnation. The rest makes up
+  /// half of a heartbeat and was sent before.
   bool HasDescriptor_ = true;
-  /// Rises with each heartbeat of a start.
+  /// Increases with each heartbeat of an incarnation.
   std::uint64_t Sequence_ = 0;
-  /// It knows its intent and targets, and its keys are fresh.
+  /// The host knows its intent and its targets, and its keys are fresh.
   bool Ready_ = false;
-  /// It was told to stop: callers must not be sent to it any more.
+  /// The host was told to stop; no more callers may be sent to it.
   bool Leaving_ = false;
-  /// A call of it to the store failed lately.
+  /// A recent call of the host to the store failed.
   bool StoreTrouble_ = false;
-  /// Demands_ are all there are; else those that changed since the last whole.
-  /// \see DemandDeltaEncoder
+  /// Whether Demands_ holds all demands; otherwise only those that changed
+  /// since the last full update. \see DemandDeltaEncoder
   bool IsFull_ = true;
   std::vector<CustomerDemand> Demands_;
   std::vector<ServiceDemand> Loads_;
   std::vector<retrying::CrashEvidence> Evidence_;
-  /// Told to hosts that have just started.
+  /// Sent only to hosts that have just started.
   std::vector<RuleExecutionTimes> Times_;
-  /// Addresses of hosts that it hears, so that hosts find each other while the
-  /// store is away.
+  /// Addresses of the hosts whose heartbeats the sender receives. Hosts
+  /// discover each other this way while the store is unavailable.
   std::vector<std::string> LivePeers_;
 };
 
-std::string encodeHeartbeat(const Heartbeat &Said);
+std::string encodeHeartbeat(const Heartbeat &Message);
 
-/// The same within \p MostBytes: what is too long leaves out crash evidence,
-/// hosts that are heard, and then demands. A host that said nothing would
-/// count as dead.
-std::string encodeHeartbeat(const Heartbeat &Said, std::size_t MostBytes);
+/// Encodes a heartbeat in at most \p MaxBytes. If it is too long, crash
+/// evidence, execution times and live peers are omitted, and then demands. A
+/// host that sent nothing would be considered dead.
+std::string encodeHeartbeat(const Heartbeat &Message, std::size_t MaxBytes);
 
-/// \returns nothing, and \p Last filled, where \p Text is no heartbeat.
+/// \returns nothing and fills \p Last if \p Text is not a heartbeat.
 std::optional<Heartbeat> decodeHeartbeat(std::string_view Text,
                                          base::Error &Last);
 
--- a/libs/members/HostTable.cpp
+++ b/libs/members/HostTable.cpp
@@ -6,59 +6,62 @@
 
 namespace lychee::members {
 
-void HostTable::take(const Heartbeat &Said, Heartbeat &Into) {
-  Heartbeat Next = Said;
-  const bool SameStart = Into.Sender_.Incarnation_ == Said.Sender_.Incarnation_;
-  if (!Said.HasDescriptor_)
-    Next.Sender_ = Into.Sender_;
-  if (!Said.IsFull_ && SameStart) {
-    Next.Demands_ = std::move(Into.Demands_);
-    for (const CustomerDemand &Told : Said.Demands_) {
-      std::erase_if(Next.Demands_, [&Told](const CustomerDemand &Each) {
-        return Each.Customer_ == Told.Customer_;
+void HostTable::merge(const Heartbeat &Message, Heartbeat &Stored) {
+  Heartbeat Next = Message;
+  const bool SameIncarnation =
+      Stored.Sender_.Incarnation_ == Message.Sender_.Incarnation_;
+  if (!Message.HasDescriptor_)
+    Next.Sender_ = Stored.Sender_;
+  if (!Message.IsFull_ && SameIncarnation) {
+    Next.Demands_ = std::move(Stored.Demands_);
+    for (const CustomerDemand &Changed : Message.Demands_) {
+      std::erase_if(Next.Demands_, [&Changed](const CustomerDemand &Entry) {
+        return Entry.Customer_ == Changed.Customer_;
       });
-      Next.Demands_.push_back(Told);
+      Next.Demands_.push_back(Changed);
     }
   }
-  // Not every heartbeat names the hosts that are heard.
-  if (Next.LivePeers_.empty() && SameStart)
-    Next.LivePeers_ = std::move(Into.LivePeers_);
-  Into = std::move(Next);
+  // Not every heartbeat carries the live peers.
+  if (Next.LivePeers_.empty() && SameIncarnation)
+    Next.LivePeers_ = std::move(Stored.LivePeers_);
+  Stored = std::move(Next);
 }
 
-bool HostTable::receive(const Heartbeat &Said, base::TimePoint Now) {
-  if (Said.Sender_.Host_ == Self_.Host_)
+bool HostTable::receive(const Heartbeat &Message, base::TimePoint Now) {
+  if (Message.Sender_.Host_ == Self_.Host_)
     return false;
   const std::lock_guard Guard(Lock_);
-  // Where it is does not follow from what was told by an earlier start.
-  const auto Before = Known_.find(Said.Sender_.Host_);
-  if (!Said.HasDescriptor_ &&
-      (Before == Known_.end() ||
-       Before->second.Last_.Sender_.Incarnation_ != Said.Sender_.Incarnation_))
+  // A descriptor of an earlier incarnation says nothing about where the host is
+  // now.
+  const auto Known = Peers_.find(Message.Sender_.Host_);
+  if (!Message.HasDescriptor_ &&
+      (Known == Peers_.end() || Known->second.Last_.Sender_.Incarnation_ !=
+                                    Message.Sender_.Incarnation_))
     return false;
-  const auto [Found, New] = Known_.try_emplace(Said.Sender_.Host_);
-  Known &Stored = Found->second;
+  const auto [Found, New] = Peers_.try_emplace(Message.Sender_.Host_);
+  Peer &Stored = Found->second;
   const Heartbeat &Last = Stored.Last_;
-  // Datagrams overtake each other, and one of an earlier start may come late.
-  // After silence anything counts: the host's time of day may have gone back.
+  // Datagrams may be reordered, and one of an earlier incarnation may arrive
+  // late. After silence any heartbeat is accepted, because the host's clock may
+  // have gone back.
   if (!New && isAlive(Stored, Now) &&
-      (Said.Sender_.Incarnation_ < Last.Sender_.Incarnation_ ||
-       (Said.Sender_.Incarnation_ == Last.Sender_.Incarnation_ &&
-        Said.Sequence_ <= Last.Sequence_)))
+      (Message.Sender_.Incarnation_ < Last.Sender_.Incarnation_ ||
+       (Message.Sender_.Incarnation_ == Last.Sender_.Incarnation_ &&
+        Message.Sequence_ <= Last.Sequence_)))
     return false;
-  const bool Told = New || !isAlive(Stored, Now) ||
-                    Last.Ready_ != Said.Ready_ ||
-                    Last.Leaving_ != Said.Leaving_;
-  take(Said, Stored.Last_);
-  Stored.HeardAt_ = Now;
-  return Told;
+  const bool Changed = New || !isAlive(Stored, Now) ||
+                       Last.Ready_ != Message.Ready_ ||
+                       Last.Leaving_ != Message.Leaving_;
+  merge(Message, Stored.Last_);
+  Stored.ReceivedAt_ = Now;
+  return Changed;
 }
 
 void HostTable::setListed(std::span<const ListedHost> Hosts) {
   const std::lock_guard Guard(Lock_);
   Listed_.clear();
-  for (const ListedHost &Each : Hosts)
-    Listed_[Each.Address_] = Each.Region_;
+  for (const ListedHost &Entry : Hosts)
+    Listed_[Entry.Address_] = Entry.Region_;
 }
 
 void HostTable::addSeeds(std::span<const std::string> Addresses) {
@@ -72,212 +75,221 @@
   for (const auto &[Address, Region] : Listed_)
     if (Region.empty() || Region == Self_.Region_)
       All.insert(Address);
-  for (const auto &[Host, Each] : Known_) {
-    if (Now - Each.HeardAt_ < RememberedFor)
-      All.insert(Each.Last_.Sender_.Address_);
-    // Hosts that live ones hear are live, too, whatever the store says.
-    if (isAlive(Each, Now))
-      All.insert(Each.Last_.LivePeers_.begin(), Each.Last_.LivePeers_.end());
+  for (const auto &[Host, Entry] : Peers_) {
+    if (Now - Entry.ReceivedAt_ < RetentionTime)
+      All.insert(Entry.Last_.Sender_.Address_);
+    // Live peers of a live host are alive, too, whatever the store says.
+    if (isAlive(Entry, Now))
+      All.insert(Entry.Last_.LivePeers_.begin(), Entry.Last_.LivePeers_.end());
   }
   All.erase(Self_.Address_);
   for (const auto &[Address, Region] : Listed_)
     if (!Region.empty() && Region != Self_.Region_)
       All.erase(Address);
-  for (const FarHost &Each : Regions_.hosts(ReservedFor, Now))
-    if (Each.Alive_)
-      All.erase(Each.Line_.Card_.Address_);
+  for (const RemoteHost &Entry : Regions_.hosts(ReservedFor, Now))
+    if (Entry.Alive_)
+      All.erase(Entry.Status_.Descriptor_.Address_);
   return {All.begin(), All.end()};
 }
 
 std::vector<HostView> HostTable::others(base::TimePoint Now) const {
   const std::lock_guard Guard(Lock_);
   std::vector<HostView> All;
-  for (const auto &[Host, Each] : Known_)
-    if (isNear(Each) && Now - Each.HeardAt_ < RememberedFor)
-      All.push_back({Each.Last_.Sender_, Each.Last_.Ready_, Each.Last_.Leaving_,
-                     isAlive(Each, Now), Now - Each.HeardAt_ < ReservedFor,
-                     Each.Last_.StoreTrouble_, Each.Last_.Demands_,
-                     Each.Last_.Loads_});
-  for (FarHost &Each : Regions_.hosts(ReservedFor, Now))
-    All.push_back({std::move(Each.Line_.Card_),
-                   Each.Line_.Ready_,
-                   Each.Line_.Leaving_,
-                   Each.Alive_,
-                   Each.HoldsShare_,
+  for (const auto &[Host, Entry] : Peers_)
+    if (isInOwnRegion(Entry) && Now - Entry.ReceivedAt_ < RetentionTime)
+      All.push_back({Entry.Last_.Sender_, Entry.Last_.Ready_,
+                     Entry.Last_.Leaving_, isAlive(Entry, Now),
+                     Now - Entry.ReceivedAt_ < ReservedFor,
+                     Entry.Last_.StoreTrouble_, Entry.Last_.Demands_,
+                     Entry.Last_.Loads_});
+  for (RemoteHost &Entry : Regions_.hosts(ReservedFor, Now))
+    All.push_back({std::move(Entry.Status_.Descriptor_),
+                   Entry.Status_.Ready_,
+                   Entry.Status_.Leaving_,
+                   Entry.Alive_,
+                   Entry.HoldsShare_,
                    false,
                    {},
                    {}});
   return All;
 }
 
-bool HostTable::isAlive(const Known &Each, base::TimePoint Now) noexcept {
-  return Now - Each.HeardAt_ < AliveFor;
+bool HostTable::isAlive(const Peer &Entry, base::TimePoint Now) noexcept {
+  return Now - Entry.ReceivedAt_ < AliveFor;
 }
 
 bool HostTable::isCutOff(base::TimePoint Now) const {
   const std::lock_guard Guard(Lock_);
-  std::size_t Lately = 0;
+  std::size_t Recent = 0;
   std::size_t Alive = 0;
-  for (const auto &[Host, Each] : Known_) {
-    if (!isNear(Each))
+  for (const auto &[Host, Entry] : Peers_) {
+    if (!isInOwnRegion(Entry))
       continue;
-    Lately += Now - Each.HeardAt_ < ReservedFor ? 1 : 0;
-    Alive += isAlive(Each, Now) ? 1 : 0;
+    Recent += Now - Entry.ReceivedAt_ < ReservedFor ? 1 : 0;
+    Alive += isAlive(Entry, Now) ? 1 : 0;
   }
-  for (const FarHost &Each : Regions_.hosts(ReservedFor, Now)) {
-    Lately += Each.HoldsShare_ ? 1 : 0;
-    Alive += Each.Alive_ ? 1 : 0;
+  for (const RemoteHost &Entry : Regions_.hosts(ReservedFor, Now)) {
+    Recent += Entry.HoldsShare_ ? 1 : 0;
+    Alive += Entry.Alive_ ? 1 : 0;
   }
-  return Lately > 0 && Alive * 2 < Lately;
+  return Recent > 0 && Alive * 2 < Recent;
 }
 
 std::size_t HostTable::shareHolders(base::TimePoint Now) const {
   const std::lock_guard Guard(Lock_);
   std::size_t Holders = 1;
-  for (const auto &[Host, Each] : Known_)
-    Holders += isNear(Each) && Now - Each.HeardAt_ < ReservedFor ? 1 : 0;
-  for (const FarHost &Each : Regions_.hosts(ReservedFor, Now))
-    Holders += Each.HoldsShare_ ? 1 : 0;
+  for (const auto &[Host, Entry] : Peers_)
+    Holders +=
+        isInOwnRegion(Entry) && Now - Entry.ReceivedAt_ < ReservedFor ? 1 : 0;
+  for (const RemoteHost &Entry : Regions_.hosts(ReservedFor, Now))
+    Holders += Entry.HoldsShare_ ? 1 : 0;
   return Holders;
 }
 
-bool HostTable::isElectedFor(std::uint64_t Matter, base::TimePoint Now) const {
-  const std::uint64_t Own = base::stableHash(Self_.Host_.name(), Matter);
+bool HostTable::isElectedFor(std::uint64_t Task, base::TimePoint Now) const {
+  const std::uint64_t Local = base::stableHash(Self_.Host_.name(), Task);
   const std::vector<HostView> All = others(Now);
-  return std::none_of(All.begin(), All.end(), [&](const HostView &Each) {
-    return Each.Alive_ && Each.Ready_ && !Each.Leaving_ &&
-           base::stableHash(Each.Descriptor_.Host_.name(), Matter) > Own;
+  return std::none_of(All.begin(), All.end(), [&](const HostView &Entry) {
+    return Entry.Alive_ && Entry.Ready_ && !Entry.Leaving_ &&
+           base::stableHash(Entry.Descriptor_.Host_.name(), Task) > Local;
   });
 }
 
-// Speaking for the region.
+// Representing the region.
 
-bool HostTable::heardNews(const RegionUpdate &Said, base::TimePoint Now) {
-  if (Said.Region_ == Self_.Region_)
+bool HostTable::receiveUpdate(const RegionUpdate &Message,
+                              base::TimePoint Now) {
+  if (Message.Region_ == Self_.Region_)
     return false;
   const std::lock_guard Guard(Lock_);
-  return Regions_.heard(Said, Now);
+  return Regions_.receive(Message, Now);
 }
 
-std::vector<std::string> HostTable::firstOf(std::vector<Candidate> All) {
-  std::sort(All.begin(), All.end(),
+std::vector<std::string>
+HostTable::electRepresentatives(std::vector<Candidate> Candidates) {
+  std::sort(Candidates.begin(), Candidates.end(),
             [](const Candidate &Left, const Candidate &Right) {
               return Left.Hash_ > Right.Hash_;
             });
-  All.resize(std::min(All.size(), SpeakerCount));
+  Candidates.resize(std::min(Candidates.size(), RepresentativeCount));
   std::vector<std::string> Addresses;
-  Addresses.reserve(All.size());
-  for (Candidate &Each : All)
-    Addresses.push_back(std::move(Each.Address_));
+  Addresses.reserve(Candidates.size());
+  for (Candidate &Entry : Candidates)
+    Addresses.push_back(std::move(Entry.Address_));
   return Addresses;
 }
 
-std::vector<std::string> HostTable::ownSpeakers(bool OwnLeaving,
-                                                base::TimePoint Now) const {
+std::vector<std::string>
+HostTable::ownRepresentatives(bool LocalLeaving, base::TimePoint Now) const {
   std::vector<Candidate> All;
-  if (!OwnLeaving)
-    All.push_back({speakerRank(Self_.Host_), Self_.Address_});
-  for (const auto &[Host, Each] : Known_)
-    if (isNear(Each) && isAlive(Each, Now) && !Each.Last_.Leaving_)
-      All.push_back({speakerRank(Host), Each.Last_.Sender_.Address_});
-  return firstOf(std::move(All));
+  if (!LocalLeaving)
+    All.push_back({representativeRank(Self_.Host_), Self_.Address_});
+  for (const auto &[Host, Entry] : Peers_)
+    if (isInOwnRegion(Entry) && isAlive(Entry, Now) && !Entry.Last_.Leaving_)
+      All.push_back({representativeRank(Host), Entry.Last_.Sender_.Address_});
+  return electRepresentatives(std::move(All));
 }
 
-bool HostTable::isSpeaker(bool OwnLeaving, base::Duration OwnAge,
-                          base::TimePoint Now) const {
+bool HostTable::isRepresentative(bool LocalLeaving, base::Duration LocalAge,
+                                 base::TimePoint Now) const {
   const std::lock_guard Guard(Lock_);
-  const bool HearsSettled =
-      std::any_of(Known_.begin(), Known_.end(), [&](const auto &Each) {
-        return isNear(Each.second) && isAlive(Each.second, Now) &&
-               Each.second.Last_.Sequence_ >= SettledBeats;
+  const bool SeesSettledHost =
+      std::any_of(Peers_.begin(), Peers_.end(), [&](const auto &Entry) {
+        return isInOwnRegion(Entry.second) && isAlive(Entry.second, Now) &&
+               Entry.second.Last_.Sequence_ >= SettledHeartbeats;
       });
-  if (OwnAge < (HearsSettled ? Settling : FirstHearing))
+  if (LocalAge < (SeesSettledHost ? SettlingTime : DiscoveryTime))
     return false;
-  const std::vector<std::string> All = ownSpeakers(OwnLeaving, Now);
+  const std::vector<std::string> All = ownRepresentatives(LocalLeaving, Now);
   return std::find(All.begin(), All.end(), Self_.Address_) != All.end();
 }
 
-std::vector<std::string> HostTable::passOnTo(const std::string &Sender,
-                                             bool OwnLeaving,
-                                             base::TimePoint Now) const {
+std::vector<std::string>
+HostTable::forwardRecipients(const std::string &Sender, bool LocalLeaving,
+                             base::TimePoint Now) const {
   const std::lock_guard Guard(Lock_);
-  std::vector<std::string> Speakers = ownSpeakers(OwnLeaving, Now);
+  std::vector<std::string> Representatives =
+      ownRepresentatives(LocalLeaving, Now);
   std::set<std::string> Others;
-  for (const auto &[Host, Each] : Known_)
-    if (isNear(Each) && isAlive(Each, Now))
-      Others.insert(Each.Last_.Sender_.Address_);
-  if (std::erase(Speakers, Self_.Address_) == 0)
-    return Others.contains(Sender) ? std::vector<std::string>() : Speakers;
-  // The other speakers are told directly, too, and pass it on themselves.
-  for (const std::string &Each : Speakers)
-    Others.erase(Each);
+  for (const auto &[Host, Entry] : Peers_)
+    if (isInOwnRegion(Entry) && isAlive(Entry, Now))
+      Others.insert(Entry.Last_.Sender_.Address_);
+  if (std::erase(Representatives, Self_.Address_) == 0)
+    return Others.contains(Sender) ? std::vector<std::string>()
+                                   : Representatives;
+  // The other representatives receive the update directly, too, and forward it
+  // themselves.
+  for (const std::string &Entry : Representatives)
+    Others.erase(Entry);
   return {Others.begin(), Others.end()};
 }
 
-std::vector<std::string> HostTable::farSpeakers(base::TimePoint Now) const {
+std::vector<std::string>
+HostTable::remoteRepresentatives(base::TimePoint Now) const {
   const std::lock_guard Guard(Lock_);
   std::map<base::RegionId, std::vector<Candidate>> Regions;
-  for (const FarHost &Each : Regions_.hosts(ReservedFor, Now))
-    if (Each.Alive_ && !Each.Line_.Leaving_)
-      Regions[Each.Line_.Card_.Region_].push_back(
-          {speakerRank(Each.Line_.Card_.Host_), Each.Line_.Card_.Address_});
+  for (const RemoteHost &Entry : Regions_.hosts(ReservedFor, Now))
+    if (Entry.Alive_ && !Entry.Status_.Leaving_)
+      Regions[Entry.Status_.Descriptor_.Region_].push_back(
+          {representativeRank(Entry.Status_.Descriptor_.Host_),
+           Entry.Status_.Descriptor_.Address_});
   std::set<std::string> All;
   for (auto &[Region, Candidates] : Regions)
-    for (std::string &Address : firstOf(std::move(Candidates)))
+    for (std::string &Address : electRepresentatives(std::move(Candidates)))
       All.insert(std::move(Address));
-  // Of a region that is silent some listed host may be alive; which, changes
-  // with the time.
+  // In a region that is silent some listed host may still be alive; the hosts
+  // that are tried change with time.
   std::map<base::RegionId, std::vector<Candidate>> Silent;
-  const auto Turn = static_cast<std::uint64_t>(
+  const auto Period = static_cast<std::uint64_t>(
       base::toMilliseconds(Now.time_since_epoch()) / 500);
   for (const auto &[Address, Region] : Listed_)
     if (!Region.empty() && Region != Self_.Region_ && !Regions.contains(Region))
-      Silent[Region].push_back({base::stableHash(Address, Turn), Address});
+      Silent[Region].push_back({base::stableHash(Address, Period), Address});
   for (auto &[Region, Candidates] : Silent)
-    for (std::string &Address : firstOf(std::move(Candidates)))
+    for (std::string &Address : electRepresentatives(std::move(Candidates)))
       All.insert(std::move(Address));
-  // Hosts that the store does not list are known by their heartbeats alone.
-  for (const auto &[Host, Each] : Known_)
-    if (!isNear(Each) && Now - Each.HeardAt_ < RememberedFor &&
-        !Regions.contains(Each.Last_.Sender_.Region_))
-      All.insert(Each.Last_.Sender_.Address_);
+  // Hosts that the store does not list are only known by their heartbeats.
+  for (const auto &[Host, Entry] : Peers_)
+    if (!isInOwnRegion(Entry) && Now - Entry.ReceivedAt_ < RetentionTime &&
+        !Regions.contains(Entry.Last_.Sender_.Region_))
+      All.insert(Entry.Last_.Sender_.Address_);
   return {All.begin(), All.end()};
 }
 
-RegionSummary HostTable::summary(const LocalHostSummary &Own,
+RegionSummary HostTable::summary(const LocalHostSummary &Local,
                                  base::TimePoint Now) const {
   const std::lock_guard Guard(Lock_);
-  RegionSummary Made;
+  RegionSummary Result;
   std::map<base::CustomerId, double> Demands;
   std::map<std::pair<base::ServiceId, base::RegionId>, double> Loads;
   const auto Add = [&Demands](std::span<const CustomerDemand> All) {
-    for (const CustomerDemand &Each : All)
-      Demands[Each.Customer_] += Each.RequestsPerSecond_;
+    for (const CustomerDemand &Entry : All)
+      Demands[Entry.Customer_] += Entry.RequestsPerSecond_;
   };
   const auto AddLoads = [&Loads](std::span<const ServiceDemand> All) {
-    for (const ServiceDemand &Each : All)
-      Loads[{Each.Service_, Each.BoundTo_}] += Each.Slots_;
+    for (const ServiceDemand &Entry : All)
+      Loads[{Entry.Service_, Entry.BoundTo_}] += Entry.Slots_;
   };
-  Made.Hosts_.push_back({Self_, Own.Ready_, Own.Leaving_, false});
-  Add(Own.Demands_);
-  AddLoads(Own.Loads_);
-  for (const auto &[Host, Each] : Known_) {
-    if (!isNear(Each) || Now - Each.HeardAt_ >= RememberedFor)
+  Result.Hosts_.push_back({Self_, Local.Ready_, Local.Leaving_, false});
+  Add(Local.Demands_);
+  AddLoads(Local.Loads_);
+  for (const auto &[Host, Entry] : Peers_) {
+    if (!isInOwnRegion(Entry) || Now - Entry.ReceivedAt_ >= RetentionTime)
       continue;
-    const bool Alive = isAlive(Each, Now);
-    Made.Hosts_.push_back(
-        {Each.Last_.Sender_, Each.Last_.Ready_, Each.Last_.Leaving_, !Alive});
-    if (Now - Each.HeardAt_ < ReservedFor)
-      Add(Each.Last_.Demands_);
+    const bool Alive = isAlive(Entry, Now);
+    Result.Hosts_.push_back({Entry.Last_.Sender_, Entry.Last_.Ready_,
+                             Entry.Last_.Leaving_, !Alive});
+    if (Now - Entry.ReceivedAt_ < ReservedFor)
+      Add(Entry.Last_.Demands_);
     if (Alive)
-      AddLoads(Each.Last_.Loads_);
+      AddLoads(Entry.Last_.Loads_);
   }
   for (const auto &[Customer, PerSecond] : Demands)
-    Made.Demands_.push_back({Customer, PerSecond});
+    Result.Demands_.push_back({Customer, PerSecond});
   for (const auto &[Key, Slots] : Loads)
-    Made.Loads_.push_back({Key.first, Slots, Key.second});
-  Made.Evidence_ = Own.Evidence_;
-  return Made;
+    Result.Loads_.push_back({Key.first, Slots, Key.second});
+  Result.Evidence_ = Local.Evidence_;
+  return Result;
 }
 
 std::vector<RegionView> HostTable::regions(base::TimePoint Now) const {
--- a/libs/members/HostTable.h
+++ b/libs/members/HostTable.h
@@ -2,7 +2,7 @@
 #define LYCHEE_MEMBERS_HOSTTABLE_H
 
 #include "members/Heartbeat.h"
-#include "members/RegionBook.h"
+#include "members/RegionTable.h"
 
 #include <map>
 #include <mutex>
@@ -12,30 +12,32 @@
 
 namespace lychee::members {
 
-/// A host as others see it.
+/// A host as seen by other hosts.
 struct HostView {
   HostDescriptor Descriptor_;
   bool Ready_ = false;
   bool Leaving_ = false;
-  /// Heard lately; look-ups may name it.
+  /// A heartbeat was received recently; look-ups may return the host.
   bool Alive_ = false;
-  /// It may still be spending its part of what all hosts share.
+  /// The host may still be spending its share of limits that all hosts divide
+  /// among themselves.
   bool HoldsShare_ = false;
-  /// A call of it to the store failed lately.
+  /// A recent call of the host to the store failed.
   bool StoreTrouble_ = false;
-  /// Nothing of a host of another region; RegionView tells the region's.
+  /// Demands_ and Loads_ are empty for hosts of other regions; RegionView holds
+  /// the sums of their region.
   std::vector<CustomerDemand> Demands_;
   std::vector<ServiceDemand> Loads_;
 };
 
-/// A host that the store lists.
+/// A host that is listed in the store.
 struct ListedHost {
   std::string Address_;
-  /// Empty: not told.
+  /// Empty: unknown.
   base::RegionId Region_;
 };
 
-/// What a host tells of itself to those that speak for its region.
+/// State of this host that goes into its region's summary.
 struct LocalHostSummary {
   bool Ready_ = false;
   bool Leaving_ = false;
@@ -44,126 +46,141 @@
   std::vector<retrying::CrashEvidence> Evidence_;
 };
 
-/// Knows the other hosts of its region by their heartbeats, at two speeds:
-/// look-ups drop a silent host fast, since callers sent to it wait in vain;
-/// what it may still be spending goes to others only after it can no longer
-/// spend it.
+/// Tracks the other hosts of the region by their heartbeats, with two
+/// time-outs. Look-ups drop a silent host quickly, because connects to a dead
+/// host fail. Its share of divided limits goes to others only once the host can
+/// no longer spend it.
 ///
-/// Not silent hosts alone: where most known hosts fall silent together, this
-/// host is the one that was cut off, and it must not take over what the others
-/// hold. \see isCutOff
+/// If most known hosts fall silent at the same time, this host is the one that
+/// is cut off, and it must not take over the others' shares. \see isCutOff
 ///
-/// Hosts of other regions are known by what two speakers of each tell, so that
-/// nothing grows with hosts x hosts between regions. \see RegionBook
+/// Hosts of other regions are known through the two representatives of each
+/// region, so that traffic between regions does not grow with hosts x hosts.
+/// \see RegionTable
 ///
 /// Thread-safe.
 class HostTable {
 public:
-  /// Four heartbeats of 500 ms: datagrams are lost now and then, four in a row
-  /// of 3% lossy ones once in a million.
+  /// Four heartbeat intervals of 500 ms. Datagrams are lost now and then; with
+  /// 3% loss, four in a row are lost once in a million.
   static constexpr base::Duration AliveFor = std::chrono::seconds(2);
-  /// Two, so that one that dies is no gap.
-  static constexpr std::size_t SpeakerCount = 2;
-  /// A silent host's share stays reserved for so long: its keys go stale 4.7 s
-  /// after its last sound contact with the store, and then it spends nothing.
+  /// Two, so that the death of one leaves no gap.
+  static constexpr std::size_t RepresentativeCount = 2;
+  /// The share of a silent host stays reserved for this long. Its keys become
+  /// stale 4.7 s after its last successful contact with the store, and after
+  /// that it spends nothing.
   static constexpr base::Duration ReservedFor = std::chrono::seconds(7);
-  /// A host that was silent for so long is forgotten, and no heartbeat goes to
-  /// it but where the store's list still names it.
-  static constexpr base::Duration RememberedFor = std::chrono::seconds(30);
+  /// A host that was silent for this long is forgotten and gets no more
+  /// heartbeats, unless the store still lists it.
+  static constexpr base::Duration RetentionTime = std::chrono::seconds(30);
 
   explicit HostTable(HostDescriptor Self) : Self_(std::move(Self)) {}
 
-  /// Takes a heartbeat. \returns whether a host was heard for the first time,
-  /// or anew after silence, or changed its readiness.
-  bool receive(const Heartbeat &Said, base::TimePoint Now);
+  /// Processes a heartbeat.
+  /// \returns whether the host was seen for the first time or again after
+  /// silence, or changed its Ready_ or Leaving_ state.
+  bool receive(const Heartbeat &Message, base::TimePoint Now);
 
-  /// Hosts that the store lists; heartbeats go to them, too.
+  /// Sets the hosts listed in the store; heartbeats are sent to them, too.
   void setListed(std::span<const ListedHost> Hosts);
   void addSeeds(std::span<const std::string> Addresses);
 
   /// \returns the addresses to send heartbeats to: hosts of this region, and
-  /// those of which the region is not known yet.
+  /// hosts whose region is not known yet.
   std::vector<std::string> recipients(base::TimePoint Now) const;
 
-  /// Takes what a speaker of another region tells. \returns whether it is to be
-  /// passed on.
-  bool heardNews(const RegionUpdate &Said, base::TimePoint Now);
-
-  /// A host that has just started knows its region in part only. Told as the
-  /// whole, that makes other regions take the rest of each rate for theirs, and
-  /// a busy customer gets more than its rate. What was told before stands
-  /// meanwhile. Where all have just started nobody knows better.
-  static constexpr base::Duration Settling = std::chrono::seconds(2);
-  /// Within this a host that starts hears whether others have been there.
-  static constexpr base::Duration FirstHearing = std::chrono::milliseconds(700);
-  /// Heartbeats of a host that has not just started.
-  static constexpr std::uint64_t SettledBeats = 8;
-
-  /// \param OwnAge  how long ago this host started.
-  /// \returns whether this host is one that tells other regions of its own.
-  bool isSpeaker(bool OwnLeaving, base::Duration OwnAge,
-                 base::TimePoint Now) const;
-  /// \returns what to tell them.
-  RegionSummary summary(const LocalHostSummary &Own, base::TimePoint Now) const;
-  /// \returns the addresses of other regions' speakers, or of some hosts of
-  /// regions whose speakers are not known.
-  std::vector<std::string> farSpeakers(base::TimePoint Now) const;
-  /// News go from speaker to speaker, and from there to all hosts of a region.
-  /// A host that is told directly and is no speaker passes them to those that
-  /// are: the teller knew an older order.
-  /// \returns the addresses to pass news on to that came from \p Sender.
-  std::vector<std::string> passOnTo(const std::string &Sender, bool OwnLeaving,
-                                    base::TimePoint Now) const;
+  /// Processes an update from a representative of another region.
+  /// \returns whether it is to be forwarded.
+  bool receiveUpdate(const RegionUpdate &Message, base::TimePoint Now);
+
+  /// A host that has just started knows only part of its region. If it
+  /// announced that part as the region's demand, other regions would take the
+  /// rest of each rate for themselves, and a busy customer would get more than
+  /// its rate. A host therefore does not act as a representative for
+  /// SettlingTime; its region's last update stays in force meanwhile. If all
+  /// hosts of the region have just started, no host knows more and
+  /// DiscoveryTime applies.
+  static constexpr base::Duration SettlingTime = std::chrono::seconds(2);
+  /// Within this time a starting host learns whether other hosts were running
+  /// before.
+  static constexpr base::Duration DiscoveryTime =
+      std::chrono::milliseconds(700);
+  /// A host that has sent this many heartbeats has not just started.
+  static constexpr std::uint64_t SettledHeartbeats = 8;
+
+  /// \param LocalAge time since this host started.
+  /// \returns whether this host is one of its region's representatives, which
+  /// send updates to other regions.
+  bool isRepresentative(bool LocalLeaving, base::Duration LocalAge,
+                        base::TimePoint Now) const;
+  /// \returns the summary of this region for other regions.
+  RegionSummary summary(const LocalHostSummary &Local,
+                        base::TimePoint Now) const;
+  /// \returns the addresses of other regions' representatives, and of some
+  /// hosts of each region whose representatives are not known.
+  std::vector<std::string> remoteRepresentatives(base::TimePoint Now) const;
+  /// Updates go from representative to representative, and from there to all
+  /// hosts of a region. A host that receives an update directly but is not a
+  /// representative forwards it to those that are: the sender used an outdated
+  /// election.
+  /// \returns the addresses to forward an update to that came from \p Sender.
+  std::vector<std::string> forwardRecipients(const std::string &Sender,
+                                             bool LocalLeaving,
+                                             base::TimePoint Now) const;
 
   /// \returns the other regions.
   std::vector<RegionView> regions(base::TimePoint Now) const;
 
-  /// \returns every remembered host but this one.
+  /// \returns all known hosts except this one.
   std::vector<HostView> others(base::TimePoint Now) const;
 
-  /// \returns whether most of the hosts that were heard within ReservedFor are
-  /// silent now, so that this host must not take their part over.
+  /// \returns whether most hosts that were seen within ReservedFor are silent
+  /// now. If so, this host must not take over their shares.
   bool isCutOff(base::TimePoint Now) const;
 
-  /// \returns how many hosts hold a share: this one, those that are heard, and
-  /// silent ones until ReservedFor.
+  /// \returns the number of hosts that hold a share: this one, live hosts, and
+  /// silent ones until ReservedFor has passed.
   std::size_t shareHolders(base::TimePoint Now) const;
 
-  /// \returns whether this host is the one that all hosts pick for \p Matter,
-  /// by highest hash among the hosts that are alive and serve.
-  bool isElectedFor(std::uint64_t Matter, base::TimePoint Now) const;
+  /// \returns whether all hosts elect this one for \p Task: the highest hash
+  /// among the hosts that are alive, ready and not leaving (rendezvous
+  /// hashing).
+  bool isElectedFor(std::uint64_t Task, base::TimePoint Now) const;
 
   const HostDescriptor &self() const noexcept { return Self_; }
 
 private:
-  struct Known {
+  struct Peer {
     Heartbeat Last_;
-    base::TimePoint HeardAt_;
+    base::TimePoint ReceivedAt_;
   };
 
-  /// A host that may speak for its region.
+  /// A host that may represent its region.
   struct Candidate {
     std::uint64_t Hash_ = 0;
     std::string Address_;
   };
 
-  static bool isAlive(const Known &Each, base::TimePoint Now) noexcept;
-  bool isNear(const Known &Each) const {
-    return Each.Last_.Sender_.Region_ == Self_.Region_;
+  static bool isAlive(const Peer &Entry, base::TimePoint Now) noexcept;
+  bool isInOwnRegion(const Peer &Entry) const {
+    return Entry.Last_.Sender_.Region_ == Self_.Region_;
   }
-  /// \returns the addresses of the first by hash.
-  static std::vector<std::string> firstOf(std::vector<Candidate> All);
-  std::vector<std::string> ownSpeakers(bool OwnLeaving,
-                                       base::TimePoint Now) const;
-  /// Takes what changed since the last whole heartbeat into what is known.
-  static void take(const Heartbeat &Said, Heartbeat &Into);
+  /// \returns the addresses of the RepresentativeCount candidates with the
+  /// highest hash.
+  static std::vector<std::string>
+  electRepresentatives(std::vector<Candidate> Candidates);
+  std::vector<std::string> ownRepresentatives(bool LocalLeaving,
+                                              base::TimePoint Now) const;
+  /// Merges a heartbeat into the known state. A delta only changes the demands
+  /// that it holds.
+  static void merge(const Heartbeat &Message, Heartbeat &Stored);
 
   const HostDescriptor Self_;
   mutable std::mutex Lock_;
-  std::map<base::HostId, Known> Known_;
-  /// By address.
+  std::map<base::HostId, Peer> Peers_;
+  /// Region by address.
   std::map<std::string, base::RegionId> Listed_;
-  RegionBook Regions_;
+  RegionTable Regions_;
   std::set<std::string> Seeds_;
 };
 
--- a/libs/members/MessageRows.cpp
+++ b/libs/members/MessageRows.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-/// Rates are told in hundredths: enough for shares, and short.
+/// Rates are sent in hundredths, which is precise enough for shares and short.
 constexpr double Hundredths = 100;
 constexpr double Milliseconds = 1000;
 
-Json::Value hundredthsOf(const std::string &Name, double Amount) {
+Json::Value rowInHundredths(const std::string &Name, double Amount) {
   Json::Value Row(Json::arrayValue);
   Row.append(Name);
   Row.append(Json::Int64(Amount * Hundredths));
@@ -20,45 +20,47 @@
 
 } // namespace
 
-std::string textOf(const Json::Value &Document) {
+std::string writeJson(const Json::Value &Document) {
   Json::StreamWriterBuilder Builder;
   Builder["indentation"] = "";
   return Json::writeString(Builder, Document);
 }
 
-std::optional<Json::Value> objectOf(std::string_view Text, base::Error &Last) {
-  Json::Value Said;
+std::optional<Json::Value> parseObject(std::string_view Text,
+                                       base::Error &Last) {
+  Json::Value Document;
   const Json::CharReaderBuilder Builder;
   const std::unique_ptr<Json::CharReader> Reader(Builder.newCharReader());
-  if (Reader->parse(Text.data(), Text.data() + Text.size(), &Said,
+  if (Reader->parse(Text.data(), Text.data() + Text.size(), &Document,
                     &Last.Reason_) &&
-      Said.isObject())
-    return Said;
+      Document.isObject())
+    return Document;
   if (Last.Reason_.empty())
     Last.Reason_ = "no JSON object";
   return std::nullopt;
 }
 
 void addDemands(std::span<const CustomerDemand> All, Json::Value &Into) {
-  for (const CustomerDemand &Each : All)
-    Into.append(hundredthsOf(Each.Customer_.name(), Each.RequestsPerSecond_));
+  for (const CustomerDemand &Entry : All)
+    Into.append(
+        rowInHundredths(Entry.Customer_.name(), Entry.RequestsPerSecond_));
 }
 
 void addLoads(std::span<const ServiceDemand> All, Json::Value &Into) {
-  for (const ServiceDemand &Each : All) {
-    Json::Value Row = hundredthsOf(Each.Service_.name(), Each.Slots_);
-    Row.append(Each.BoundTo_.name());
+  for (const ServiceDemand &Entry : All) {
+    Json::Value Row = rowInHundredths(Entry.Service_.name(), Entry.Slots_);
+    Row.append(Entry.BoundTo_.name());
     Into.append(Row);
   }
 }
 
 void addEvidence(std::span<const retrying::CrashEvidence> All,
                  Json::Value &Into) {
-  for (const retrying::CrashEvidence &Each : All) {
+  for (const retrying::CrashEvidence &Entry : All) {
     Json::Value Row(Json::arrayValue);
-    Row.append(Json::UInt64(Each.Fingerprint_));
-    Row.append(Json::UInt64(Each.Target_));
-    Row.append(Json::Int64(base::toMilliseconds(Each.Age_)));
+    Row.append(Json::UInt64(Entry.Fingerprint_));
+    Row.append(Json::UInt64(Entry.Target_));
+    Row.append(Json::Int64(base::toMilliseconds(Entry.Age_)));
     Into.append(Row);
   }
 }
@@ -99,11 +101,11 @@
 }
 
 void addTimes(std::span<const RuleExecutionTimes> All, Json::Value &Into) {
-  for (const RuleExecutionTimes &Each : All) {
+  for (const RuleExecutionTimes &Entry : All) {
     Json::Value Row(Json::arrayValue);
-    Row.append(Each.Rule_);
+    Row.append(Entry.Rule_);
     for (const double Seconds :
-         {Each.WarmSeconds_, Each.ColdSeconds_, Each.UsualSeconds_})
+         {Entry.WarmSeconds_, Entry.ColdSeconds_, Entry.UsualSeconds_})
       Row.append(Json::Int64(Seconds * Milliseconds));
     Into.append(Row);
   }
@@ -113,15 +115,15 @@
   for (const Json::Value &Row : Rows) {
     if (!Row.isArray() || Row.size() != 4 || !Row[0].isString())
       return false;
-    RuleExecutionTimes Read;
-    Read.Rule_ = Row[0].asString();
+    RuleExecutionTimes Result;
+    Result.Rule_ = Row[0].asString();
     for (Json::ArrayIndex Column = 1; Column < 4; ++Column)
       if (!Row[Column].isInt64())
         return false;
-    Read.WarmSeconds_ = double(Row[1].asInt64()) / Milliseconds;
-    Read.ColdSeconds_ = double(Row[2].asInt64()) / Milliseconds;
-    Read.UsualSeconds_ = double(Row[3].asInt64()) / Milliseconds;
-    Into.push_back(std::move(Read));
+    Result.WarmSeconds_ = double(Row[1].asInt64()) / Milliseconds;
+    Result.ColdSeconds_ = double(Row[2].asInt64()) / Milliseconds;
+    Result.UsualSeconds_ = double(Row[3].asInt64()) / Milliseconds;
+    Into.push_back(std::move(Result));
   }
   return true;
 }
--- a/libs/members/MessageRows.h
+++ b/libs/members/MessageRows.h
@@ -8,12 +8,14 @@
 
 namespace lychee::members {
 
-// Rows that heartbeats and news of regions have in common. Readers return false
-// where a row is of another form, and may have added rows before it.
-
-std::string textOf(const Json::Value &Document);
-/// \returns the object that \p Text holds, or nothing and \p Last filled.
-std::optional<Json::Value> objectOf(std::string_view Text, base::Error &Last);
+// Rows shared by heartbeats and region updates. Readers return false if a row
+// has another form; rows before it may already have been added.
+
+std::string writeJson(const Json::Value &Document);
+/// \returns the JSON object in \p Text; nothing and \p Last filled if there is
+/// none.
+std::optional<Json::Value> parseObject(std::string_view Text,
+                                       base::Error &Last);
 
 void addDemands(std::span<const CustomerDemand> All, Json::Value &Into);
 void addLoads(std::span<const ServiceDemand> All, Json::Value &Into);
--- a/libs/members/PacedSender.cpp
+++ b/libs/members/PacedSender.cpp
@@ -21,37 +21,38 @@
   if (Text.empty() || Receivers.empty())
     return;
   const auto Shared = std::make_shared<const std::string>(std::move(Text));
-  for (const std::string &Each : Receivers)
-    Waiting_.push_back({Shared, Each});
+  for (const std::string &Receiver : Receivers)
+    Queue_.push_back({Shared, Receiver});
   std::size_t Dropped = 0;
-  for (; Waiting_.size() > MostWaiting; ++Dropped)
-    Waiting_.pop_front();
+  for (; Queue_.size() > MaxQueued; ++Dropped)
+    Queue_.pop_front();
   if (Dropped > 0)
     reporting::logLine(reporting::LogLevel::Warning,
                        base::KeyValueLine()
                            .add("event", "datagrams-dropped")
                            .add("count", Dropped));
-  sendSome();
-  if (Waiting_.empty() || Sending_)
+  sendAllowed();
+  if (Queue_.empty() || Sending_)
     return;
   Sending_ = true;
-  asio::co_spawn(Socket_.get_executor(), sendRest(), asio::detached);
+  asio::co_spawn(Socket_.get_executor(), drainQueue(), asio::detached);
 }
 
-void PacedSender::sendSome() {
+void PacedSender::sendAllowed() {
   const base::TimePoint Now = base::SystemClock::monotonicNow();
-  while (!Waiting_.empty() && Pace_.take(Waiting_.front().Text_->size(), Now)) {
-    sendDatagram(Socket_, *Waiting_.front().Text_, Waiting_.front().Receiver_,
+  while (!Queue_.empty() &&
+         Limiter_.tryAcquire(Queue_.front().Text_->size(), Now)) {
+    sendDatagram(Socket_, *Queue_.front().Text_, Queue_.front().Receiver_,
                  Port_);
-    Waiting_.pop_front();
+    Queue_.pop_front();
   }
 }
 
-asio::awaitable<void> PacedSender::sendRest() {
-  while (!Waiting_.empty()) {
-    Timer_.expires_after(Pause);
+asio::awaitable<void> PacedSender::drainQueue() {
+  while (!Queue_.empty()) {
+    Timer_.expires_after(SendInterval);
     co_await Timer_.async_wait(asio::as_tuple(asio::use_awaitable));
-    sendSome();
+    sendAllowed();
   }
   Sending_ = false;
 }
--- a/libs/members/PacedSender.h
+++ b/libs/members/PacedSender.h
@@ -1,7 +1,7 @@
 #ifndef LYCHEE_MEMBERS_PACEDSENDER_H
 #define LYCHEE_MEMBERS_PACEDSENDER_H
 
-#include "members/DatagramPace.h"
+#include "members/DatagramRateLimiter.h"
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/ip/udp.hpp>
@@ -15,16 +15,17 @@
 
 namespace lychee::members {
 
-/// Sends a text to many hosts, no faster than their links carry it.
+/// Sends a message to many hosts no faster than their links carry it.
 ///
-/// Of one executor's thread. \see DatagramPace
+/// Used on the thread of one executor. \see DatagramRateLimiter
 class PacedSender {
 public:
-  /// Waiting datagrams; more are older than the next text for the same host.
-  static constexpr std::size_t MostWaiting = 1024;
-  static constexpr std::chrono::milliseconds Pause{10};
+  /// Largest number of queued datagrams. Older ones are outdated by the next
+  /// message to the same host.
+  static constexpr std::size_t MaxQueued = 1024;
+  static constexpr std::chrono::milliseconds SendInterval{10};
 
-  /// \param Socket  outlives this.
+  /// \param Socket must outlive this.
   PacedSender(boost::asio::ip::udp::socket &Socket, std::uint16_t Port);
   PacedSender(const PacedSender &) = delete;
   PacedSender &operator=(const PacedSender &) = delete;
@@ -32,20 +33,20 @@
   void send(std::string Text, std::span<const std::string> Receivers);
 
 private:
-  struct Waiting {
+  struct QueuedDatagram {
     std::shared_ptr<const std::string> Text_;
     std::string Receiver_;
   };
 
-  /// Sends what may leave now.
-  void sendSome();
-  boost::asio::awaitable<void> sendRest();
+  /// Sends queued datagrams as far as the rate limit allows.
+  void sendAllowed();
+  boost::asio::awaitable<void> drainQueue();
 
   boost::asio::ip::udp::socket &Socket_;
   const std::uint16_t Port_;
   boost::asio::steady_timer Timer_;
-  DatagramPace Pace_;
-  std::deque<Waiting> Waiting_;
+  DatagramRateLimiter Limiter_;
+  std::deque<QueuedDatagram> Queue_;
   bool Sending_ = false;
 };
 
--- a/libs/members/RegionExchange.cpp
+++ b/libs/members/RegionExchange.cpp
@@ -24,55 +24,57 @@
 } // namespace
 
 RegionExchange::RegionExchange(const asio::any_io_executor &Executor,
-                               HostTable &Book,
+                               HostTable &Hosts,
                                const settings::Endpoint &Heartbeats,
-                               Callbacks Others)
-    : Book_(Book), Listen_(nextPort(Heartbeats)), Others_(std::move(Others)),
-      Begun_(SystemClock::monotonicNow()), Socket_(Executor), Timer_(Executor),
-      Sender_(Socket_, Listen_.Port_) {}
+                               Callbacks Handlers)
+    : Hosts_(Hosts), Listen_(nextPort(Heartbeats)),
+      Callbacks_(std::move(Handlers)), StartedAt_(SystemClock::monotonicNow()),
+      Socket_(Executor), Timer_(Executor), Sender_(Socket_, Listen_.Port_) {}
 
 bool RegionExchange::open(base::Error &Last) {
   return openDatagramSocket(Socket_, Listen_, "region-news.listen", Last);
 }
 
 void RegionExchange::sendNow(base::TimePoint Now) {
-  if (!Book_.isSpeaker(Others_.IsLeaving_(), Now - Begun_, Now))
+  if (!Hosts_.isRepresentative(Callbacks_.IsLeaving_(), Now - StartedAt_, Now))
     return;
-  RegionUpdate Said;
-  Said.Region_ = Book_.self().Region_;
-  Said.Speaker_ = Book_.self().Host_;
-  Said.Start_ = Book_.self().Incarnation_;
-  Said.Sequence_ = ++Sequence_;
-  Said.Summary_ = Teller_.tell(Book_.summary(Others_.Say_(Now), Now));
-  Sender_.send(encodeRegionNews(Said), Book_.farSpeakers(Now));
+  RegionUpdate Update;
+  Update.Region_ = Hosts_.self().Region_;
+  Update.Representative_ = Hosts_.self().Host_;
+  Update.Incarnation_ = Hosts_.self().Incarnation_;
+  Update.Sequence_ = ++Sequence_;
+  Update.Summary_ =
+      Announcer_.select(Hosts_.summary(Callbacks_.Summarize_(Now), Now));
+  Sender_.send(encodeRegionUpdate(Update), Hosts_.remoteRepresentatives(Now));
 }
 
 asio::awaitable<void> RegionExchange::sendAll() {
   while (true) {
     sendNow(SystemClock::monotonicNow());
-    Timer_.expires_after(Pace);
+    Timer_.expires_after(Interval);
     co_await Timer_.async_wait(AsTuple);
   }
 }
 
-void RegionExchange::take(std::string_view Text,
-                          const asio::ip::address &Sender,
-                          base::TimePoint Now) {
-  base::Error Unreadable;
-  const std::optional<RegionUpdate> Said = decodeRegionNews(Text, Unreadable);
-  if (!Said || !Book_.heardNews(*Said, Now))
+void RegionExchange::receive(std::string_view Text,
+                             const asio::ip::address &Sender,
+                             base::TimePoint Now) {
+  base::Error Ignored;
+  const std::optional<RegionUpdate> Update = decodeRegionUpdate(Text, Ignored);
+  if (!Update || !Hosts_.receiveUpdate(*Update, Now))
     return;
-  Others_.Hear_(*Said, Now);
+  Callbacks_.OnUpdate_(*Update, Now);
   Sender_.send(std::string(Text),
-               Book_.passOnTo(Sender.to_string(), Others_.IsLeaving_(), Now));
+               Hosts_.forwardRecipients(Sender.to_string(),
+                                        Callbacks_.IsLeaving_(), Now));
 }
 
 asio::awaitable<void> RegionExchange::receiveAll() {
-  const std::function<void(std::string_view, const udp::endpoint &)> Take =
-      [this](std::string_view Text, const udp::endpoint &Sender) {
-        take(Text, Sender.address(), SystemClock::monotonicNow());
+  const std::function<void(std::string_view, const udp::endpoint &)>
+      OnDatagram = [this](std::string_view Text, const udp::endpoint &Sender) {
+        receive(Text, Sender.address(), SystemClock::monotonicNow());
       };
-  co_await receiveDatagrams(Socket_, Received_, Take);
+  co_await receiveDatagrams(Socket_, Buffer_, OnDatagram);
 }
 
 } // namespace lychee::members
--- a/libs/members/RegionExchange.h
+++ b/libs/members/RegionExchange.h
@@ -3,7 +3,7 @@
 
 #include "members/HostTable.h"
 #include "members/PacedSender.h"
-#include "members/RegionTeller.h"
+#include "members/RegionAnnouncer.h"
 #include "settings/DaemonSettings.h"
 
 #include <array>
@@ -14,54 +14,56 @@
 
 namespace lychee::members {
 
-/// Tells the speakers of other regions what this host knows of its own, where
-/// it is a speaker itself, and passes on to its region what theirs tell.
+/// Sends the state of this host's region to the representatives of other
+/// regions if this host is a representative, and forwards their updates to its
+/// own region.
 ///
 /// \see HostTable, HeartbeatExchange
 class RegionExchange {
 public:
-  static constexpr std::chrono::milliseconds Pace{500};
-  static constexpr std::size_t MostBytes = 16UL * 1024;
+  static constexpr std::chrono::milliseconds Interval{500};
+  static constexpr std::size_t MaxBytes = 16UL * 1024;
 
   struct Callbacks {
-    /// \returns what this host has to tell of itself.
-    std::function<LocalHostSummary(base::TimePoint)> Say_;
+    /// \returns the state of this host.
+    std::function<LocalHostSummary(base::TimePoint)> Summarize_;
     /// \returns whether this host was told to stop.
     std::function<bool()> IsLeaving_;
-    /// Hears news that were not known.
-    std::function<void(const RegionUpdate &, base::TimePoint)> Hear_;
+    /// Called for each update that was not known yet.
+    std::function<void(const RegionUpdate &, base::TimePoint)> OnUpdate_;
   };
 
-  /// \param Book  outlives this. \param Heartbeats  where heartbeats come in;
-  /// news come by the next port, which all hosts use.
-  RegionExchange(const boost::asio::any_io_executor &Executor, HostTable &Book,
-                 const settings::Endpoint &Heartbeats, Callbacks Others);
+  /// \param Hosts must outlive this.
+  /// \param Heartbeats address for heartbeats. Updates use the next port; it is
+  /// the same on all hosts.
+  RegionExchange(const boost::asio::any_io_executor &Executor, HostTable &Hosts,
+                 const settings::Endpoint &Heartbeats, Callbacks Handlers);
   RegionExchange(const RegionExchange &) = delete;
   RegionExchange &operator=(const RegionExchange &) = delete;
 
-  /// \returns false, and \p Last filled, where the address cannot be had.
+  /// \returns false and fills \p Last if the address cannot be bound.
   bool open(base::Error &Last);
 
   /// Both run until the executor ends.
   boost::asio::awaitable<void> sendAll();
   boost::asio::awaitable<void> receiveAll();
 
-  /// Tells other regions now, besides the steady news.
+  /// Sends an update now, in addition to the periodic ones.
   void sendNow(base::TimePoint Now);
 
 private:
-  void take(std::string_view Text, const boost::asio::ip::address &Sender,
-            base::TimePoint Now);
+  void receive(std::string_view Text, const boost::asio::ip::address &Sender,
+               base::TimePoint Now);
 
-  HostTable &Book_;
+  HostTable &Hosts_;
   const settings::Endpoint Listen_;
-  const Callbacks Others_;
-  const base::TimePoint Begun_;
+  const Callbacks Callbacks_;
+  const base::TimePoint StartedAt_;
   boost::asio::ip::udp::socket Socket_;
   boost::asio::steady_timer Timer_;
   PacedSender Sender_;
-  RegionTeller Teller_;
-  std::array<char, MostBytes> Received_{};
+  RegionAnnouncer Announcer_;
+  std::array<char, MaxBytes> Buffer_{};
   std::uint64_t Sequence_ = 0;
 };
 
--- a/libs/members/RegionUpdate.cpp
+++ b/libs/members/RegionUpdate.cpp
@@ -6,32 +6,32 @@
 
 namespace {
 
-/// A host's state in its row.
+/// Bits of a host's state in its row.
 constexpr unsigned ReadyBit = 1;
 constexpr unsigned LeavingBit = 2;
 constexpr unsigned GoneBit = 4;
-constexpr Json::ArrayIndex LineColumns = 6;
+constexpr Json::ArrayIndex HostColumns = 6;
 
-unsigned stateOf(const HostLine &Each) {
-  return (Each.Ready_ ? ReadyBit : 0U) | (Each.Leaving_ ? LeavingBit : 0U) |
-         (Each.Gone_ ? GoneBit : 0U);
+unsigned stateBits(const HostStatus &Host) {
+  return (Host.Ready_ ? ReadyBit : 0U) | (Host.Leaving_ ? LeavingBit : 0U) |
+         (Host.Gone_ ? GoneBit : 0U);
 }
 
-Json::Value rowOf(const HostLine &Each) {
+Json::Value encodeHost(const HostStatus &Host) {
   Json::Value Row(Json::arrayValue);
-  Row.append(Each.Card_.Host_.name());
-  Row.append(Each.Card_.Zone_.name());
-  Row.append(Each.Card_.Address_);
-  Row.append(Each.Card_.CallerAddress_);
-  Row.append(Json::UInt64(Each.Card_.Incarnation_));
-  Row.append(stateOf(Each));
+  Row.append(Host.Descriptor_.Host_.name());
+  Row.append(Host.Descriptor_.Zone_.name());
+  Row.append(Host.Descriptor_.Address_);
+  Row.append(Host.Descriptor_.CallerAddress_);
+  Row.append(Json::UInt64(Host.Descriptor_.Incarnation_));
+  Row.append(stateBits(Host));
   return Row;
 }
 
 bool readHosts(const Json::Value &Rows, const base::RegionId &Region,
-               std::vector<HostLine> &Into) {
+               std::vector<HostStatus> &Into) {
   for (const Json::Value &Row : Rows) {
-    if (!Row.isArray() || Row.size() != LineColumns || !Row[4].isUInt64() ||
+    if (!Row.isArray() || Row.size() != HostColumns || !Row[4].isUInt64() ||
         !Row[5].isUInt())
       return false;
     for (Json::ArrayIndex Column = 0; Column < 4; ++Column)
@@ -50,45 +50,45 @@
 
 } // namespace
 
-std::string encodeRegionNews(const RegionUpdate &Said) {
-  Json::Value Text;
-  Text["region"] = Said.Region_.name();
-  Text["speaker"] = Said.Speaker_.name();
-  Text["start"] = Json::UInt64(Said.Start_);
-  Text["n"] = Json::UInt64(Said.Sequence_);
-  for (const HostLine &Each : Said.Summary_.Hosts_)
-    Text["hosts"].append(rowOf(Each));
-  if (!Said.Summary_.Demands_.empty())
-    addDemands(Said.Summary_.Demands_, Text["demands"]);
-  if (!Said.Summary_.Loads_.empty())
-    addLoads(Said.Summary_.Loads_, Text["loads"]);
-  if (!Said.Summary_.Evidence_.empty())
-    addEvidence(Said.Summary_.Evidence_, Text["crashes"]);
-  return textOf(Text);
+std::string encodeRegionUpdate(const RegionUpdate &Update) {
+  Json::Value Document;
+  Document["region"] = Update.Region_.name();
+  Document["speaker"] = Update.Representative_.name();
+  Document["start"] = Json::UInt64(Update.Incarnation_);
+  Document["n"] = Json::UInt64(Update.Sequence_);
+  for (const HostStatus &Host : Update.Summary_.Hosts_)
+    Document["hosts"].append(encodeHost(Host));
+  if (!Update.Summary_.Demands_.empty())
+    addDemands(Update.Summary_.Demands_, Document["demands"]);
+  if (!Update.Summary_.Loads_.empty())
+    addLoads(Update.Summary_.Loads_, Document["loads"]);
+  if (!Update.Summary_.Evidence_.empty())
+    addEvidence(Update.Summary_.Evidence_, Document["crashes"]);
+  return writeJson(Document);
 }
 
-std::optional<RegionUpdate> decodeRegionNews(std::string_view Text,
-                                             base::Error &Last) {
+std::optional<RegionUpdate> decodeRegionUpdate(std::string_view Text,
+                                               base::Error &Last) {
   Last = {"region-news.decode", "", ""};
-  const std::optional<Json::Value> Object = objectOf(Text, Last);
+  const std::optional<Json::Value> Object = parseObject(Text, Last);
   if (!Object)
     return std::nullopt;
-  const Json::Value &Said = *Object;
+  const Json::Value &Document = *Object;
   Last.Reason_ = "a field is missing or of another type";
-  if (!Said["region"].isString() || !Said["speaker"].isString() ||
-      !Said["start"].isUInt64() || !Said["n"].isUInt64())
+  if (!Document["region"].isString() || !Document["speaker"].isString() ||
+      !Document["start"].isUInt64() || !Document["n"].isUInt64())
     return std::nullopt;
-  RegionUpdate Read;
-  Read.Region_ = base::RegionId(Said["region"].asString());
-  Read.Speaker_ = base::HostId(Said["speaker"].asString());
-  Read.Start_ = Said["start"].asUInt64();
-  Read.Sequence_ = Said["n"].asUInt64();
-  if (!readHosts(Said["hosts"], Read.Region_, Read.Summary_.Hosts_) ||
-      !readDemands(Said["demands"], Read.Summary_.Demands_) ||
-      !readLoads(Said["loads"], Read.Summary_.Loads_) ||
-      !readEvidence(Said["crashes"], Read.Summary_.Evidence_))
+  RegionUpdate Result;
+  Result.Region_ = base::RegionId(Document["region"].asString());
+  Result.Representative_ = base::HostId(Document["speaker"].asString());
+  Result.Incarnation_ = Document["start"].asUInt64();
+  Result.Sequence_ = Document["n"].asUInt64();
+  if (!readHosts(Document["hosts"], Result.Region_, Result.Summary_.Hosts_) ||
+      !readDemands(Document["demands"], Result.Summary_.Demands_) ||
+      !readLoads(Document["loads"], Result.Summary_.Loads_) ||
+      !readEvidence(Document["crashes"], Result.Summary_.Evidence_))
     return std::nullopt;
-  return Read;
+  return Result;
 }
 
 } // namespace lychee::members
--- a/libs/members/RegionUpdate.h
+++ b/libs/members/RegionUpdate.h
@@ -5,44 +5,44 @@
 
 namespace lychee::members {
 
-/// A host as the speakers of its region see it.
-struct HostLine {
-  HostDescriptor Card_;
+/// A host as seen by the representatives of its region.
+struct HostStatus {
+  HostDescriptor Descriptor_;
   bool Ready_ = false;
   bool Leaving_ = false;
-  /// Silent, or ended.
+  /// The host is silent or has ended.
   bool Gone_ = false;
 
-  bool operator==(const HostLine &) const = default;
+  bool operator==(const HostStatus &) const = default;
 };
 
-/// All that a region's speaker knows of its region.
+/// Everything that a representative knows of its region.
 struct RegionSummary {
-  std::vector<HostLine> Hosts_;
-  /// Of all hosts that may still be spending tokens.
+  std::vector<HostStatus> Hosts_;
+  /// Sums over all hosts that may still be spending tokens.
   std::vector<CustomerDemand> Demands_;
-  /// Of all hosts that are alive.
+  /// Sums over all live hosts.
   std::vector<ServiceDemand> Loads_;
   std::vector<retrying::CrashEvidence> Evidence_;
 };
 
-/// What a region's speaker tells other regions: what has changed, and in turn
-/// what stands. A datagram each. \see RegionTeller, RegionBook
+/// What a representative sends to other regions: changes, and the unchanged
+/// state in rotation. One datagram each. \see RegionAnnouncer, RegionTable
 struct RegionUpdate {
   base::RegionId Region_;
-  base::HostId Speaker_;
-  /// Rises with each start of the speaker.
-  std::uint64_t Start_ = 0;
-  /// Rises with each news of a start.
+  base::HostId Representative_;
+  /// Increases with each start of the representative.
+  std::uint64_t Incarnation_ = 0;
+  /// Increases with each update of an incarnation.
   std::uint64_t Sequence_ = 0;
   RegionSummary Summary_;
 };
 
-std::string encodeRegionNews(const RegionUpdate &Said);
+std::string encodeRegionUpdate(const RegionUpdate &Update);
 
-/// \returns nothing, and \p Last filled, where \p Text is no such news.
-std::optional<RegionUpdate> decodeRegionNews(std::string_view Text,
-                                             base::Error &Last);
+/// \returns nothing and fills \p Last if \p Text is not a region update.
+std::optional<RegionUpdate> decodeRegionUpdate(std::string_view Text,
+                                               base::Error &Last);
 
 } // namespace lychee::members
 
--- a/libs/members/TokenExchange.cpp
+++ b/libs/members/TokenExchange.cpp
@@ -10,20 +10,21 @@
 using base::SystemClock;
 
 TokenExchange::TokenExchange(const asio::any_io_executor &Executor,
-                             settings::Endpoint Listen, std::uint64_t Start,
-                             Callbacks Others)
-    : Listen_(std::move(Listen)), Start_(Start), Others_(std::move(Others)),
-      Socket_(Executor) {}
+                             settings::Endpoint Listen,
+                             std::uint64_t Incarnation, Callbacks Handlers)
+    : Listen_(std::move(Listen)), Incarnation_(Incarnation),
+      Callbacks_(std::move(Handlers)), Socket_(Executor) {}
 
 bool TokenExchange::open(base::Error &Last) {
   return openDatagramSocket(Socket_, Listen_, "token.listen", Last);
 }
 
-void TokenExchange::send(const TokenMessage &Said,
+void TokenExchange::send(const TokenMessage &Message,
                          const udp::endpoint &Receiver) {
   boost::system::error_code Ignored;
-  // One that does not go out is one that was lost: who asked asks once more.
-  Socket_.send_to(asio::buffer(encodeTokenMessage(Said)), Receiver, 0, Ignored);
+  // A datagram that cannot be sent counts as lost; the requester asks again.
+  Socket_.send_to(asio::buffer(encodeTokenMessage(Message)), Receiver, 0,
+                  Ignored);
 }
 
 void TokenExchange::ask(const std::string &Address, std::uint64_t Ticket,
@@ -31,27 +32,31 @@
   boost::system::error_code Failure;
   const auto Receiver = asio::ip::make_address(Address, Failure);
   if (!Failure)
-    send({Start_, Ticket, Customer, std::nullopt}, {Receiver, Listen_.Port_});
+    send({Incarnation_, Ticket, Customer, std::nullopt},
+         {Receiver, Listen_.Port_});
 }
 
-void TokenExchange::take(const TokenMessage &Said,
-                         const udp::endpoint &Sender) {
+void TokenExchange::handle(const TokenMessage &Message,
+                           const udp::endpoint &Sender) {
   const base::TimePoint Now = SystemClock::monotonicNow();
-  if (!Said.Customer_.empty())
-    send({Said.Start_, Said.Ticket_, {}, Others_.Give_(Said.Customer_, Now)},
+  if (!Message.Customer_.empty())
+    send({Message.Incarnation_,
+          Message.Ticket_,
+          {},
+          Callbacks_.TakeToken_(Message.Customer_, Now)},
          Sender);
-  else if (Said.Start_ == Start_)
-    Others_.Hear_(Said.Ticket_, Said.Wait_, Now);
+  else if (Message.Incarnation_ == Incarnation_)
+    Callbacks_.OnAnswer_(Message.Ticket_, Message.Wait_, Now);
 }
 
 asio::awaitable<void> TokenExchange::receiveAll() {
-  const std::function<void(std::string_view, const udp::endpoint &)> Take =
-      [this](std::string_view Text, const udp::endpoint &Sender) {
-        base::Error Unreadable;
-        if (const auto Said = decodeTokenMessage(Text, Unreadable))
-          take(*Said, Sender);
+  const std::function<void(std::string_view, const udp::endpoint &)>
+      OnDatagram = [this](std::string_view Text, const udp::endpoint &Sender) {
+        base::Error Unused;
+        if (const auto Message = decodeTokenMessage(Text, Unused))
+          handle(*Message, Sender);
       };
-  co_await receiveDatagrams(Socket_, Received_, Take);
+  co_await receiveDatagrams(Socket_, Buffer_, OnDatagram);
 }
 
 } // namespace lychee::members
--- a/libs/members/TokenExchange.h
+++ b/libs/members/TokenExchange.h
@@ -11,35 +11,37 @@
 
 namespace lychee::members {
 
-/// Asks other hosts of the region for tokens of customers' rates, and answers
-/// their questions: a datagram each way, some 60 bytes. One that is lost is a
-/// question that is not answered in time, and a token that nobody spends.
-/// \see dispatch::CustomerRateLimiter
+/// Requests tokens of customers' rates from other hosts of the region, and
+/// answers such requests: one datagram of about 60 bytes each way. A lost
+/// datagram means a request that is not answered in time, or a token that
+/// nobody spends. \see dispatch::CustomerRateLimiter
 class TokenExchange {
 public:
   struct Callbacks {
-    /// \returns when a token is there for another host; nothing: it took one.
+    /// Takes a token for another host.
+    /// \returns nothing if there was one, or the time until there will be one.
     std::function<std::optional<base::Duration>(const base::CustomerId &,
                                                 base::TimePoint)>
-        Give_;
-    /// Hears the answer on a request of this host.
+        TakeToken_;
+    /// Called with the answer to a request of this host.
     std::function<void(std::uint64_t Ticket, std::optional<base::Duration> Wait,
                        base::TimePoint)>
-        Hear_;
+        OnAnswer_;
   };
 
-  /// \param Listen  where datagrams come in; all hosts use its port.
-  /// \param Start  of this host. \see HostDescriptor
+  /// \param Listen address for datagrams; all hosts use its port.
+  /// \param Incarnation of this host. \see HostDescriptor
   TokenExchange(const boost::asio::any_io_executor &Executor,
-                settings::Endpoint Listen, std::uint64_t Start,
-                Callbacks Others);
+                settings::Endpoint Listen, std::uint64_t Incarnation,
+                Callbacks Handlers);
   TokenExchange(const TokenExchange &) = delete;
   TokenExchange &operator=(const TokenExchange &) = delete;
 
-  /// \returns false, and \p Last filled, where the address cannot be had.
+  /// \returns false and fills \p Last if the address cannot be bound.
   bool open(base::Error &Last);
 
-  /// Asks the host at \p Address; of the executor's thread.
+  /// Requests a token from the host at \p Address. To be called on the
+  /// executor's thread.
   void ask(const std::string &Address, std::uint64_t Ticket,
            const base::CustomerId &Customer);
 
@@ -47,18 +49,18 @@
   boost::asio::awaitable<void> receiveAll();
 
 private:
-  void take(const TokenMessage &Said,
-            const boost::asio::ip::udp::endpoint &Sender);
-  void send(const TokenMessage &Said,
+  void handle(const TokenMessage &Message,
+              const boost::asio::ip::udp::endpoint &Sender);
+  void send(const TokenMessage &Message,
             const boost::asio::ip::udp::endpoint &Receiver);
 
-  static constexpr std::size_t MostBytes = 1024;
+  static constexpr std::size_t MaxBytes = 1024;
 
   const settings::Endpoint Listen_;
-  const std::uint64_t Start_;
-  const Callbacks Others_;
+  const std::uint64_t Incarnation_;
+  const Callbacks Callbacks_;
   boost::asio::ip::udp::socket Socket_;
-  std::array<char, MostBytes> Received_{};
+  std::array<char, MaxBytes> Buffer_{};
 };
 
 } // namespace lychee::members
--- a/libs/members/TokenMessages.cpp
+++ b/libs/members/TokenMessages.cpp
@@ -5,38 +5,38 @@
 
 namespace lychee::members {
 
-std::string encodeTokenMessage(const TokenMessage &Said) {
-  Json::Value Text;
-  Text["start"] = Json::UInt64(Said.Start_);
-  Text["ticket"] = Json::UInt64(Said.Ticket_);
-  if (!Said.Customer_.empty())
-    Text["customer"] = Said.Customer_.name();
-  if (Said.Wait_)
-    Text["wait_ms"] = Json::Int64(base::toMilliseconds(*Said.Wait_));
+std::string encodeTokenMessage(const TokenMessage &Message) {
+  Json::Value Document;
+  Document["start"] = Json::UInt64(Message.Incarnation_);
+  Document["ticket"] = Json::UInt64(Message.Ticket_);
+  if (!Message.Customer_.empty())
+    Document["customer"] = Message.Customer_.name();
+  if (Message.Wait_)
+    Document["wait_ms"] = Json::Int64(base::toMilliseconds(*Message.Wait_));
   Json::StreamWriterBuilder Builder;
   Builder["indentation"] = "";
-  return Json::writeString(Builder, Text);
+  return Json::writeString(Builder, Document);
 }
 
 std::optional<TokenMessage> decodeTokenMessage(std::string_view Text,
                                                base::Error &Last) {
   Last = {"token.decode", "", "not a message about tokens"};
-  Json::Value Said;
+  Json::Value Document;
   const Json::CharReaderBuilder Builder;
   const std::unique_ptr<Json::CharReader> Reader(Builder.newCharReader());
-  if (!Reader->parse(Text.data(), Text.data() + Text.size(), &Said,
+  if (!Reader->parse(Text.data(), Text.data() + Text.size(), &Document,
                      &Last.Reason_) ||
-      !Said.isObject() || !Said["start"].isUInt64() ||
-      !Said["ticket"].isUInt64())
+      !Document.isObject() || !Document["start"].isUInt64() ||
+      !Document["ticket"].isUInt64())
     return std::nullopt;
-  TokenMessage Read;
-  Read.Start_ = Said["start"].asUInt64();
-  Read.Ticket_ = Said["ticket"].asUInt64();
-  if (Said["customer"].isString())
-    Read.Customer_ = base::CustomerId(Said["customer"].asString());
-  if (Said["wait_ms"].isInt64())
-    Read.Wait_ = std::chrono::milliseconds(Said["wait_ms"].asInt64());
-  return Read;
+  TokenMessage Result;
+  Result.Incarnation_ = Document["start"].asUInt64();
+  Result.Ticket_ = Document["ticket"].asUInt64();
+  if (Document["customer"].isString())
+    Result.Customer_ = base::CustomerId(Document["customer"].asString());
+  if (Document["wait_ms"].isInt64())
+    Result.Wait_ = std::chrono::milliseconds(Document["wait_ms"].asInt64());
+  return Result;
 }
 
 } // namespace lychee::members
--- a/libs/members/TokenMessages.h
+++ b/libs/members/TokenMessages.h
@@ -12,21 +12,23 @@
 
 namespace lychee::members {
 
-/// One host asks another for a token of a customer's rate, or answers that.
+/// A request to another host for a token of a customer's rate, or the answer to
+/// one.
 struct TokenMessage {
-  /// Who asked: its start, so that an answer to an earlier start counts for
-  /// nothing, and the request there.
-  std::uint64_t Start_ = 0;
+  /// Incarnation of the requesting host, so that answers to an earlier one are
+  /// ignored; Ticket_ identifies the request there.
+  std::uint64_t Incarnation_ = 0;
   std::uint64_t Ticket_ = 0;
-  /// The customer in a question; empty in an answer.
+  /// The customer in a request; empty in an answer.
   base::CustomerId Customer_;
-  /// In an answer: when a token is there again; nothing: here it is.
+  /// In an answer: time until a token is available; nothing: a token was
+  /// granted.
   std::optional<base::Duration> Wait_;
 };
 
-std::string encodeTokenMessage(const TokenMessage &Said);
+std::string encodeTokenMessage(const TokenMessage &Message);
 
-/// \returns nothing, and \p Last filled, where \p Text is no such message.
+/// \returns nothing and fills \p Last if \p Text is not a token message.
 std::optional<TokenMessage> decodeTokenMessage(std::string_view Text,
                                                base::Error &Last);
 
--- a/tests/members/EntryPolicyTest.cpp
+++ b/tests/members/EntryPolicyTest.cpp
@@ -31,61 +31,62 @@
   static base::ZoneId zone(std::size_t Number) {
     return base::ZoneId("zone-" + std::to_string(Number));
   }
-  static EntryQuery from(std::size_t Zone) {
-    EntryQuery Asked;
-    Asked.Region_ = base::RegionId("north");
-    Asked.Zone_ = zone(Zone);
-    Asked.Name_ = "name";
-    return Asked;
+  static EntryQuery queryFrom(std::size_t Zone) {
+    EntryQuery Query;
+    Query.Region_ = base::RegionId("north");
+    Query.Zone_ = zone(Zone);
+    Query.Name_ = "name";
+    return Query;
   }
-  std::vector<std::string> told(const EntryQuery &Asked,
-                                const std::string &By = "by") const {
+  std::vector<std::string> entriesFor(
+      const EntryQuery &Query, const std::string &Answering = "by") const {
     members::HostDescriptor Self;
-    Self.Host_ = base::HostId(By);
-    return members::chooseEntries(Asked, Self, {}, Hosts_);
+    Self.Host_ = base::HostId(Answering);
+    return members::chooseEntries(Query, Self, {}, Hosts_);
   }
 };
 
-TEST(EntryPolicy, asManyAsACallerTakesAreToldAll) {
+TEST(EntryPolicy, allHostsAreReturnedUpToTheLimit) {
   for (const std::size_t Count : {1U, 6U, 64U}) {
     Hosts_.clear();
     makeRegion(Count);
-    LONGS_EQUAL(Count, told(from(1)).size());
+    LONGS_EQUAL(Count, entriesFor(queryFrom(1)).size());
   }
 }
 
-// More hosts than a caller takes. With the same first 64 told to everybody the
-// others would serve nobody, also where a region has none and its callers are
-// told of all others.
-TEST(EntryPolicy, ofManyHostsAllAreUsedWithinAFactorOfTwo) {
+// There are more hosts than a caller takes. If all callers got the same first
+// 64, the other hosts would serve nobody. The same holds if a region has no
+// hosts and its callers get all others.
+TEST(EntryPolicy, manyHostsAreAllUsedWithinAFactorOfTwo) {
   for (const std::size_t Count : {100U, 190U, 400U}) {
     Hosts_.clear();
     makeRegion(Count);
     std::map<std::string, double> Load;
     for (std::size_t Zone = 0; Zone < Zones; ++Zone)
-      for (int By = 0; By < 60; ++By) {
-        const auto Told = told(from(Zone), "by-" + std::to_string(By));
-        CHECK(Told.size() <= 64);
-        for (const std::string &Each : Told)
-          Load[Each] += 1.0 / double(Told.size());
+      for (int Answering = 0; Answering < 60; ++Answering) {
+        const auto Entries =
+            entriesFor(queryFrom(Zone), "by-" + std::to_string(Answering));
+        CHECK(Entries.size() <= 64);
+        for (const std::string &Host : Entries)
+          Load[Host] += 1.0 / double(Entries.size());
       }
     LONGS_EQUAL(Count, Load.size());
     const double Mean = 60.0 * Zones / double(Count);
-    for (const auto &[Host, Part] : Load) {
-      CHECK(Part <= 2 * Mean);
-      CHECK(Part >= Mean / 2);
+    for (const auto &[Host, Share] : Load) {
+      CHECK(Share <= 2 * Mean);
+      CHECK(Share >= Mean / 2);
     }
   }
 }
 
-TEST(EntryPolicy, theSameCallerIsToldTheSameHosts) {
+TEST(EntryPolicy, sameCallerGetsTheSameHosts) {
   makeRegion(200);
-  const EntryQuery Asked = from(2);
-  const auto First = told(Asked);
+  const EntryQuery Query = queryFrom(2);
+  const auto First = entriesFor(Query);
   Hosts_[0].Alive_ = false;
-  const auto Second = told(Asked);
+  const auto Second = entriesFor(Query);
   std::size_t Same = 0;
-  for (const std::string &Each : First)
-    Same += std::count(Second.begin(), Second.end(), Each) > 0 ? 1U : 0U;
+  for (const std::string &Host : First)
+    Same += std::count(Second.begin(), Second.end(), Host) > 0 ? 1U : 0U;
   CHECK(Same >= First.size() - 2);
 }
--- a/tests/members/HeartbeatTest.cpp
+++ b/tests/members/HeartbeatTest.cpp
@@ -11,38 +11,39 @@
 TEST_GROUP(Heartbeat) {
   base::Error Last_;
   static members::Heartbeat sample() {
-    members::Heartbeat Said;
-    Said.Sender_.Host_ = base::HostId("h1");
-    Said.Sender_.Region_ = base::RegionId("north");
-    Said.Sender_.Zone_ = base::ZoneId("north-a");
-    Said.Sender_.Address_ = "127.0.0.2";
-    Said.Sender_.CallerAddress_ = "127.0.0.2:80";
-    Said.Sender_.Incarnation_ = 1700000000000;
-    Said.Sequence_ = 9;
-    Said.Ready_ = true;
-    Said.Demands_ = {{base::CustomerId("parish"), 2.5}};
-    Said.Loads_ = {{base::ServiceId("portal"), 11.25, base::RegionId("north")}};
-    Said.Evidence_ = {{0xffffffffffffffffULL, 7, 1500ms}};
-    Said.Times_ = {{"rule", 0.25, 0.9, 0.4}};
-    Said.LivePeers_ = {"127.0.0.3"};
-    return Said;
+    members::Heartbeat Message;
+    Message.Sender_.Host_ = base::HostId("h1");
+    Message.Sender_.Region_ = base::RegionId("north");
+    Message.Sender_.Zone_ = base::ZoneId("north-a");
+    Message.Sender_.Address_ = "127.0.0.2";
+    Message.Sender_.CallerAddress_ = "127.0.0.2:80";
+    Message.Sender_.Incarnation_ = 1700000000000;
+    Message.Sequence_ = 9;
+    Message.Ready_ = true;
+    Message.Demands_ = {{base::CustomerId("parish"), 2.5}};
+    Message.Loads_ = {
+        {base::ServiceId("portal"), 11.25, base::RegionId("north")}};
+    Message.Evidence_ = {{0xffffffffffffffffULL, 7, 1500ms}};
+    Message.Times_ = {{"rule", 0.25, 0.9, 0.4}};
+    Message.LivePeers_ = {"127.0.0.3"};
+    return Message;
   }
 };
 
-TEST(Heartbeat, comesBackAsItWasSaid) {
-  const members::Heartbeat Said = sample();
+TEST(Heartbeat, decodingRestoresTheEncodedHeartbeat) {
+  const members::Heartbeat Message = sample();
   const auto Decoded =
-      members::decodeHeartbeat(members::encodeHeartbeat(Said), Last_);
+      members::decodeHeartbeat(members::encodeHeartbeat(Message), Last_);
   CHECK(Decoded.has_value());
   const members::Heartbeat Read = Decoded.value_or(members::Heartbeat());
-  CHECK(Read.Sender_ == Said.Sender_);
+  CHECK(Read.Sender_ == Message.Sender_);
   LONGS_EQUAL(9, Read.Sequence_);
   CHECK(Read.Ready_);
   CHECK_FALSE(Read.Leaving_);
   DOUBLES_EQUAL(2.5, Read.Demands_[0].RequestsPerSecond_, 0.01);
   DOUBLES_EQUAL(11.25, Read.Loads_[0].Slots_, 0.01);
   STRCMP_EQUAL("north", Read.Loads_[0].BoundTo_.name().c_str());
-  CHECK(Read.Evidence_[0] == Said.Evidence_[0]);
+  CHECK(Read.Evidence_[0] == Message.Evidence_[0]);
   STRCMP_EQUAL("rule", Read.Times_[0].Rule_.c_str());
   DOUBLES_EQUAL(0.25, Read.Times_[0].WarmSeconds_, 0.001);
   DOUBLES_EQUAL(0.9, Read.Times_[0].ColdSeconds_, 0.001);
@@ -50,9 +51,9 @@
   STRCMP_EQUAL("127.0.0.3", Read.LivePeers_[0].c_str());
 }
 
-// Anyone can send a datagram to the port. What is no heartbeat changes nothing
-// and says why.
-TEST(Heartbeat, anythingElseIsRefused) {
+// Anyone can send a datagram to the port. A text that is not a heartbeat must
+// be rejected with a reason.
+TEST(Heartbeat, otherTextsAreRejected) {
   for (const char *Text :
        {"", "no json", "[]", "{}", R"({"h":1})", R"({"h":"a","s":"1"})",
         R"({"h":"a","region":"r","zone":"z","at":"a","callers":"c",)"
@@ -68,54 +69,55 @@
 }
 
 TEST(Heartbeat, fitsItsDatagramWithManyCustomers) {
-  members::Heartbeat Said = sample();
-  Said.Demands_.clear();
-  for (int Each = 0; Each < 100; ++Each)
-    Said.Demands_.push_back(
-        {base::CustomerId("customer-" + std::to_string(Each)), 123.45});
-  CHECK(members::encodeHeartbeat(Said).size() < 8192);
+  members::Heartbeat Message = sample();
+  Message.Demands_.clear();
+  for (int Number = 0; Number < 100; ++Number)
+    Message.Demands_.push_back(
+        {base::CustomerId("customer-" + std::to_string(Number)), 123.45});
+  CHECK(members::encodeHeartbeat(Message).size() < 8192);
 }
 
-// Guards against hosts that take each other for dead since what they have to
-// tell is longer than a datagram: they tell less, and are heard.
-TEST(Heartbeat, whatIsTooLongIsCutAndNotUnsaid) {
-  constexpr std::size_t MostBytes = 8192;
-  members::Heartbeat Said = sample();
-  Said.Evidence_.assign(400, Said.Evidence_[0]);
-  std::string Text = members::encodeHeartbeat(Said, MostBytes);
-  CHECK(Text.size() <= MostBytes);
+// Guards against hosts that consider each other dead because their state does
+// not fit into a datagram: a shortened heartbeat must be sent instead.
+TEST(Heartbeat, tooLongHeartbeatIsShortenedAndNotDropped) {
+  constexpr std::size_t MaxBytes = 8192;
+  members::Heartbeat Message = sample();
+  Message.Evidence_.assign(400, Message.Evidence_[0]);
+  std::string Text = members::encodeHeartbeat(Message, MaxBytes);
+  CHECK(Text.size() <= MaxBytes);
   auto Read = members::decodeHeartbeat(Text, Last_);
   CHECK(Read && Read->Ready_ && Read->Demands_.size() == 1);
   CHECK(Read && Read->Evidence_.empty());
-  Said.Demands_.assign(1000, Said.Demands_[0]);
-  Text = members::encodeHeartbeat(Said, MostBytes);
-  CHECK(Text.size() <= MostBytes);
+  Message.Demands_.assign(1000, Message.Demands_[0]);
+  Text = members::encodeHeartbeat(Message, MaxBytes);
+  CHECK(Text.size() <= MaxBytes);
   Read = members::decodeHeartbeat(Text, Last_);
   CHECK(Read && Read->Ready_ && Read->Loads_.size() == 1);
   CHECK(Read && Read->Demands_.empty() && !Read->IsFull_);
 }
 
-// Most heartbeats leave out where the host is. A host that missed the one that
-// told it, or hears a new start, cannot place them and waits for the next.
-TEST(Heartbeat, withoutItsCardItIsPlacedByWhatWasToldBefore) {
-  members::HostTable Book({});
-  members::Heartbeat Said = sample();
+// Most heartbeats omit the host descriptor. A receiver that missed the one that
+// carried it, or sees a new incarnation, ignores the heartbeat and waits for
+// the next descriptor.
+TEST(Heartbeat, heartbeatWithoutDescriptorUsesTheKnownOne) {
+  members::HostTable Hosts({});
+  members::Heartbeat Message = sample();
   const base::TimePoint Now(100s);
-  const auto Hear = [&](bool WithCard) {
-    Said.HasDescriptor_ = WithCard;
-    ++Said.Sequence_;
+  const auto Receive = [&](bool WithDescriptor) {
+    Message.HasDescriptor_ = WithDescriptor;
+    ++Message.Sequence_;
     const auto Read =
-        members::decodeHeartbeat(members::encodeHeartbeat(Said), Last_);
-    return Read && Book.receive(*Read, Now);
+        members::decodeHeartbeat(members::encodeHeartbeat(Message), Last_);
+    return Read && Hosts.receive(*Read, Now);
   };
-  CHECK_FALSE(Hear(false));
-  CHECK(Hear(true));
-  Said.Ready_ = false;
-  CHECK(Hear(false));
-  const auto Views = Book.recipients(Now);
-  LONGS_EQUAL(2, Views.size());
-  Said.Sender_.Incarnation_ += 1;
-  Said.Ready_ = true;
-  CHECK_FALSE(Hear(false));
-  CHECK(Hear(true));
+  CHECK_FALSE(Receive(false));
+  CHECK(Receive(true));
+  Message.Ready_ = false;
+  CHECK(Receive(false));
+  const auto Recipients = Hosts.recipients(Now);
+  LONGS_EQUAL(2, Recipients.size());
+  Message.Sender_.Incarnation_ += 1;
+  Message.Ready_ = true;
+  CHECK_FALSE(Receive(false));
+  CHECK(Receive(true));
 }
--- a/tests/members/RegionPlayTest.cpp
+++ b/tests/members/RegionPlayTest.cpp
@@ -1,7 +1,7 @@
 #include "members/HostTable.h"
 
 #include "base/Random.h"
-#include "members/RegionTeller.h"
+#include "members/RegionAnnouncer.h"
 
 #include <map>
 #include <memory>
@@ -18,18 +18,18 @@
 
 namespace {
 
-/// Hosts of some regions in virtual time: heartbeats inside regions, news
-/// between them, as the exchanges of a live host send them. Datagrams take
-/// their time, and some are lost.
+/// Simulates hosts of several regions in virtual time: heartbeats inside
+/// regions and updates between them, as the exchanges of a live host send them.
+/// Datagrams have latency, and some are lost.
 class Fleet {
 public:
   static constexpr base::Duration Step = 20ms;
-  static constexpr base::Duration Pace = 500ms;
-  static constexpr base::Duration NearDelay = 20ms;
-  static constexpr base::Duration FarDelay = 40ms;
+  static constexpr base::Duration Interval = 500ms;
+  static constexpr base::Duration LocalDelay = 20ms;
+  static constexpr base::Duration RemoteDelay = 40ms;
 
-  Fleet(std::size_t Count, std::size_t Regions, double Lost = 0)
-      : Regions_(Regions), Lost_(Lost) {
+  Fleet(std::size_t Count, std::size_t Regions, double LossRate = 0)
+      : Regions_(Regions), LossRate_(LossRate) {
     for (std::size_t Number = 0; Number < Count; ++Number)
       Listed_.push_back({std::to_string(Number), regionOf(Number)});
     Hosts_.resize(Count);
@@ -37,16 +37,17 @@
       restart(Number);
   }
 
-  void play(base::Duration Span) {
-    for (const base::TimePoint End = Now_ + Span; Now_ < End; Now_ += Step) {
-      while (!OnTheWay_.empty() && OnTheWay_.begin()->first <= Now_) {
-        const Datagram Each = std::move(OnTheWay_.begin()->second);
-        OnTheWay_.erase(OnTheWay_.begin());
-        deliver(Each);
+  void play(base::Duration Duration) {
+    for (const base::TimePoint End = Now_ + Duration; Now_ < End;
+         Now_ += Step) {
+      while (!InFlight_.empty() && InFlight_.begin()->first <= Now_) {
+        const Datagram Entry = std::move(InFlight_.begin()->second);
+        InFlight_.erase(InFlight_.begin());
+        deliver(Entry);
       }
       for (std::size_t Number = 0; Number < Hosts_.size(); ++Number)
         if (!Down_.contains(Number) && isDue(Number))
-          beat(Number);
+          sendMessages(Number);
     }
   }
 
@@ -56,20 +57,20 @@
     else
       Down_.erase(Number);
   }
-  /// The host starts anew, and remembers nothing.
+  /// Restarts the host without any state.
   void restart(std::size_t Number) {
-    members::HostDescriptor Card = cardOf(Number);
-    Card.Incarnation_ = ++Starts_;
+    members::HostDescriptor Descriptor = descriptorOf(Number);
+    Descriptor.Incarnation_ = ++Incarnations_;
     Hosts_[Number] = {};
-    Hosts_[Number].Book_ = std::make_unique<HostTable>(Card);
-    Hosts_[Number].Begun_ = Now_;
-    Hosts_[Number].Book_->setListed(Listed_);
+    Hosts_[Number].Table_ = std::make_unique<HostTable>(Descriptor);
+    Hosts_[Number].StartedAt_ = Now_;
+    Hosts_[Number].Table_->setListed(Listed_);
     setDown(Number, false);
   }
   void setDemand(std::size_t Number, double PerSecond) {
     Hosts_[Number].Demand_ = PerSecond;
   }
-  /// The regions hear nothing of each other.
+  /// Cuts the connection between two regions, or restores it.
   void cut(std::size_t One, std::size_t Other, bool Cut) {
     if (Cut)
       Cuts_.insert(std::minmax(One, Other));
@@ -78,10 +79,10 @@
   }
 
   bool isSpeaker(std::size_t Number) const {
-    return Hosts_[Number].Book_->isSpeaker(false, Now_ - Hosts_[Number].Begun_,
-                                           Now_);
+    return Hosts_[Number].Table_->isRepresentative(
+        false, Now_ - Hosts_[Number].StartedAt_, Now_);
   }
-  std::vector<std::size_t> speakersOf(std::size_t Region) const {
+  std::vector<std::size_t> representativesOf(std::size_t Region) const {
     std::vector<std::size_t> All;
     for (std::size_t Number = Region; Number < Hosts_.size();
          Number += Regions_)
@@ -90,35 +91,35 @@
     return All;
   }
 
-  /// \returns how many hosts the host takes for alive, itself included.
+  /// \returns how many hosts the host considers alive, including itself.
   std::size_t aliveAt(std::size_t Number) const {
     std::size_t Alive = 1;
-    for (const members::HostView &Each : Hosts_[Number].Book_->others(Now_))
-      Alive += Each.Alive_ ? 1 : 0;
+    for (const members::HostView &Entry : Hosts_[Number].Table_->others(Now_))
+      Alive += Entry.Alive_ ? 1 : 0;
     return Alive;
   }
-  /// \returns what the host knows of the demand in other regions.
-  double farDemandAt(std::size_t Number) const {
+  /// \returns the demand in other regions that the host knows of.
+  double remoteDemandAt(std::size_t Number) const {
     double Sum = 0;
     for (const members::RegionView &Region :
-         Hosts_[Number].Book_->regions(Now_))
-      for (const members::CustomerDemand &Each : Region.Demands_)
-        Sum += Region.HoldsShare_ ? Each.RequestsPerSecond_ : 0;
+         Hosts_[Number].Table_->regions(Now_))
+      for (const members::CustomerDemand &Entry : Region.Demands_)
+        Sum += Region.HoldsShare_ ? Entry.RequestsPerSecond_ : 0;
     return Sum;
   }
-  bool takesForAlive(std::size_t Number, std::size_t Other) const {
-    for (const members::HostView &Each : Hosts_[Number].Book_->others(Now_))
-      if (Each.Descriptor_.Address_ == std::to_string(Other))
-        return Each.Alive_;
+  bool considersAlive(std::size_t Number, std::size_t Other) const {
+    for (const members::HostView &Entry : Hosts_[Number].Table_->others(Now_))
+      if (Entry.Descriptor_.Address_ == std::to_string(Other))
+        return Entry.Alive_;
     return false;
   }
   bool isCutOff(std::size_t Number) const {
-    return Hosts_[Number].Book_->isCutOff(Now_);
+    return Hosts_[Number].Table_->isCutOff(Now_);
   }
 
-  /// Bytes that went between regions.
-  std::size_t farBytes() const { return FarBytes_; }
-  void forgetBytes() { FarBytes_ = 0; }
+  /// Bytes sent between regions.
+  std::size_t remoteBytes() const { return RemoteBytes_; }
+  void resetBytes() { RemoteBytes_ = 0; }
 
   std::size_t size() const { return Hosts_.size(); }
   std::size_t regionIndexOf(std::size_t Number) const {
@@ -127,10 +128,10 @@
 
 private:
   struct Host {
-    std::unique_ptr<HostTable> Book_;
-    members::RegionTeller Teller_;
+    std::unique_ptr<HostTable> Table_;
+    members::RegionAnnouncer Announcer_;
     std::uint64_t Sequence_ = 0;
-    base::TimePoint Begun_;
+    base::TimePoint StartedAt_;
     double Demand_ = 1;
   };
 
@@ -138,157 +139,161 @@
     std::size_t From_ = 0;
     std::size_t To_ = 0;
     std::shared_ptr<const members::Heartbeat> Heartbeat_;
-    std::shared_ptr<const members::RegionUpdate> News_;
+    std::shared_ptr<const members::RegionUpdate> Update_;
     std::size_t Bytes_ = 0;
   };
 
   base::RegionId regionOf(std::size_t Number) const {
     return base::RegionId("region-" + std::to_string(Number % Regions_));
   }
-  members::HostDescriptor cardOf(std::size_t Number) const {
-    members::HostDescriptor Made;
-    Made.Host_ = base::HostId("host-" + std::to_string(Number));
-    Made.Region_ = regionOf(Number);
-    Made.Zone_ = base::ZoneId("zone");
-    Made.Address_ = std::to_string(Number);
-    Made.CallerAddress_ = Made.Address_ + ":80";
-    return Made;
+  members::HostDescriptor descriptorOf(std::size_t Number) const {
+    members::HostDescriptor Result;
+    Result.Host_ = base::HostId("host-" + std::to_string(Number));
+    Result.Region_ = regionOf(Number);
+    Result.Zone_ = base::ZoneId("zone");
+    Result.Address_ = std::to_string(Number);
+    Result.CallerAddress_ = Result.Address_ + ":80";
+    return Result;
   }
 
   bool isDue(std::size_t Number) const {
     const base::Duration Shift = Step * static_cast<int>(Number * 7);
-    return (Now_.time_since_epoch() + Shift) % Pace < Step;
+    return (Now_.time_since_epoch() + Shift) % Interval < Step;
   }
 
-  void send(const Datagram &Each) {
-    const std::size_t From = regionIndexOf(Each.From_);
-    const std::size_t To = regionIndexOf(Each.To_);
+  void send(const Datagram &Entry) {
+    const std::size_t From = regionIndexOf(Entry.From_);
+    const std::size_t To = regionIndexOf(Entry.To_);
     if (From != To)
-      FarBytes_ += Each.Bytes_;
-    if (base::drawUnit(Random_) < Lost_ ||
+      RemoteBytes_ += Entry.Bytes_;
+    if (base::drawUnit(Random_) < LossRate_ ||
         Cuts_.contains(std::minmax(From, To)))
       return;
-    OnTheWay_.emplace(Now_ + (From == To ? NearDelay : FarDelay), Each);
+    InFlight_.emplace(Now_ + (From == To ? LocalDelay : RemoteDelay), Entry);
   }
 
-  void beat(std::size_t Number) {
+  void sendMessages(std::size_t Number) {
     Host &Self = Hosts_[Number];
-    members::Heartbeat Said;
-    Said.Sender_ = Self.Book_->self();
-    Said.Sequence_ = ++Self.Sequence_;
-    Said.Ready_ = true;
-    Said.Demands_ = {{base::CustomerId("c"), Self.Demand_}};
-    const std::size_t Bytes = members::encodeHeartbeat(Said).size();
-    const auto Sent = std::make_shared<const members::Heartbeat>(Said);
-    for (const std::string &Each : Self.Book_->recipients(Now_))
-      send({Number, std::stoul(Each), Sent, nullptr, Bytes});
-    if (!Self.Book_->isSpeaker(false, Now_ - Self.Begun_, Now_))
+    members::Heartbeat Message;
+    Message.Sender_ = Self.Table_->self();
+    Message.Sequence_ = ++Self.Sequence_;
+    Message.Ready_ = true;
+    Message.Demands_ = {{base::CustomerId("c"), Self.Demand_}};
+    const std::size_t Bytes = members::encodeHeartbeat(Message).size();
+    const auto Sent = std::make_shared<const members::Heartbeat>(Message);
+    for (const std::string &Entry : Self.Table_->recipients(Now_))
+      send({Number, std::stoul(Entry), Sent, nullptr, Bytes});
+    if (!Self.Table_->isRepresentative(false, Now_ - Self.StartedAt_, Now_))
       return;
-    members::RegionUpdate News;
-    News.Region_ = Said.Sender_.Region_;
-    News.Speaker_ = Said.Sender_.Host_;
-    News.Start_ = Said.Sender_.Incarnation_;
-    News.Sequence_ = Self.Sequence_;
-    News.Summary_ = Self.Teller_.tell(
-        Self.Book_->summary({true, false, Said.Demands_, {}, {}}, Now_));
-    const std::size_t NewsBytes = members::encodeRegionNews(News).size();
-    const auto SentNews = std::make_shared<const members::RegionUpdate>(News);
-    for (const std::string &Each : Self.Book_->farSpeakers(Now_))
-      send({Number, std::stoul(Each), nullptr, SentNews, NewsBytes});
+    members::RegionUpdate Update;
+    Update.Region_ = Message.Sender_.Region_;
+    Update.Representative_ = Message.Sender_.Host_;
+    Update.Incarnation_ = Message.Sender_.Incarnation_;
+    Update.Sequence_ = Self.Sequence_;
+    Update.Summary_ = Self.Announcer_.select(
+        Self.Table_->summary({true, false, Message.Demands_, {}, {}}, Now_));
+    const std::size_t UpdateBytes = members::encodeRegionUpdate(Update).size();
+    const auto SentUpdate =
+        std::make_shared<const members::RegionUpdate>(Update);
+    for (const std::string &Entry : Self.Table_->remoteRepresentatives(Now_))
+      send({Number, std::stoul(Entry), nullptr, SentUpdate, UpdateBytes});
   }
 
-  void deliver(const Datagram &Each) {
-    if (Down_.contains(Each.To_))
+  void deliver(const Datagram &Entry) {
+    if (Down_.contains(Entry.To_))
       return;
-    HostTable &Book = *Hosts_[Each.To_].Book_;
-    if (Each.Heartbeat_) {
-      Book.receive(*Each.Heartbeat_, Now_);
+    HostTable &Table = *Hosts_[Entry.To_].Table_;
+    if (Entry.Heartbeat_) {
+      Table.receive(*Entry.Heartbeat_, Now_);
       return;
     }
-    if (!Book.heardNews(*Each.News_, Now_))
+    if (!Table.receiveUpdate(*Entry.Update_, Now_))
       return;
     for (const std::string &To :
-         Book.passOnTo(std::to_string(Each.From_), false, Now_))
-      send({Each.To_, std::stoul(To), nullptr, Each.News_, Each.Bytes_});
+         Table.forwardRecipients(std::to_string(Entry.From_), false, Now_))
+      send({Entry.To_, std::stoul(To), nullptr, Entry.Update_, Entry.Bytes_});
   }
 
   const std::size_t Regions_;
-  const double Lost_;
+  const double LossRate_;
   base::TimePoint Now_ = base::TimePoint(1000s);
   base::Random Random_{11};
   std::vector<members::ListedHost> Listed_;
   std::vector<Host> Hosts_;
   std::set<std::size_t> Down_;
   std::set<std::pair<std::size_t, std::size_t>> Cuts_;
-  std::multimap<base::TimePoint, Datagram> OnTheWay_;
-  std::size_t FarBytes_ = 0;
-  std::uint64_t Starts_ = 0;
+  std::multimap<base::TimePoint, Datagram> InFlight_;
+  std::size_t RemoteBytes_ = 0;
+  std::uint64_t Incarnations_ = 0;
 };
 
 } // namespace
 
 TEST_GROUP(RegionPlay){
     static void checkAllKnown(const Fleet &Hosts, std::size_t Alive){
-        for (std::size_t Each = 0; Each < Hosts.size(); ++Each)
-            LONGS_EQUAL(Alive, Hosts.aliveAt(Each));
+        for (std::size_t Entry = 0; Entry < Hosts.size(); ++Entry)
+            LONGS_EQUAL(Alive, Hosts.aliveAt(Entry));
 }
 }
 ;
 
 // All hosts start within the same second and know nothing but the store's list.
-// Callers may be sent anywhere, and rates are divided, once all know all.
-TEST(RegionPlay, hostsThatStartTogetherKnowEachOtherWithinTwoSeconds) {
+// Callers can be sent anywhere and rates can be divided once all hosts know
+// each other.
+TEST(RegionPlay, hostsStartedTogetherKnowEachOtherWithinTwoSeconds) {
   for (const std::size_t Count : {12U, 95U, 300U}) {
     Fleet Hosts(Count, 3);
     Hosts.play(2s);
     checkAllKnown(Hosts, Count);
-    for (std::size_t Each = 0; Each < Count; ++Each)
-      DOUBLES_EQUAL(double(Count) * 2 / 3, Hosts.farDemandAt(Each), 1.1);
+    for (std::size_t Entry = 0; Entry < Count; ++Entry)
+      DOUBLES_EQUAL(double(Count) * 2 / 3, Hosts.remoteDemandAt(Entry), 1.1);
   }
 }
 
-// Both speakers of a region are killed, frozen or cut off while a customer's
-// demand in their region grows: others take their place, no region is taken for
-// lost meanwhile, and the new demand is known within seconds.
-TEST(RegionPlay, newsGoOnWhereBothSpeakersEnd) {
-  for (const double Lost : {0.0, 0.03}) {
-    Fleet Hosts(30, 3, Lost);
+// Both representatives of a region are killed, frozen or cut off while a
+// customer's demand in their region grows. Others must take their place without
+// the region being considered lost, and the new demand must be known within
+// seconds.
+TEST(RegionPlay, updatesContinueAfterBothRepresentativesStop) {
+  for (const double LossRate : {0.0, 0.03}) {
+    Fleet Hosts(30, 3, LossRate);
     Hosts.play(4s);
-    const std::vector<std::size_t> Ended = Hosts.speakersOf(1);
-    LONGS_EQUAL(2, Ended.size());
-    for (const std::size_t Each : Ended)
-      Hosts.setDown(Each, true);
-    for (std::size_t Each = 1; Each < 30; Each += 3)
-      Hosts.setDemand(Each, 50);
+    const std::vector<std::size_t> Stopped = Hosts.representativesOf(1);
+    LONGS_EQUAL(2, Stopped.size());
+    for (const std::size_t Entry : Stopped)
+      Hosts.setDown(Entry, true);
+    for (std::size_t Entry = 1; Entry < 30; Entry += 3)
+      Hosts.setDemand(Entry, 50);
     for (int Turn = 0; Turn < 20; ++Turn) {
       Hosts.play(200ms);
       CHECK(Hosts.aliveAt(0) >= 28);
     }
-    CHECK(Hosts.farDemandAt(0) >= 8 * 50);
-    for (const std::size_t Each : Ended)
-      CHECK_FALSE(Hosts.takesForAlive(0, Each));
+    CHECK(Hosts.remoteDemandAt(0) >= 8 * 50);
+    for (const std::size_t Entry : Stopped)
+      CHECK_FALSE(Hosts.considersAlive(0, Entry));
   }
 }
 
-// A host that is no speaker is killed. Callers of other regions may be named to
-// it until its own region has noticed and told.
-TEST(RegionPlay, aDeadHostIsKnownToBeDeadElsewhereSoonAfterItsOwnRegionKnows) {
-  for (const double Lost : {0.0, 0.03}) {
-    Fleet Hosts(30, 3, Lost);
+// A host that is not a representative is killed. Callers of other regions may
+// be sent to it until its own region has noticed and announced it.
+TEST(RegionPlay, deadHostIsKnownInOtherRegionsSoonAfterItsOwn) {
+  for (const double LossRate : {0.0, 0.03}) {
+    Fleet Hosts(30, 3, LossRate);
     Hosts.play(4s);
     std::size_t Dead = 1;
     while (Hosts.isSpeaker(Dead))
       Dead += 3;
     Hosts.setDown(Dead, true);
-    Hosts.play(HostTable::AliveFor + 2 * Fleet::Pace + 100ms);
-    for (std::size_t Each = 0; Each < 30; ++Each)
-      CHECK(Each == Dead || !Hosts.takesForAlive(Each, Dead));
+    Hosts.play(HostTable::AliveFor + 2 * Fleet::Interval + 100ms);
+    for (std::size_t Entry = 0; Entry < 30; ++Entry)
+      CHECK(Entry == Dead || !Hosts.considersAlive(Entry, Dead));
   }
 }
 
-// Two regions lose each other and nothing else. The third knows both, neither
-// takes itself for cut off, and once the way is back all is known again.
-TEST(RegionPlay, twoRegionsThatLoseEachOtherFindEachOtherAgain) {
+// Two regions lose the connection to each other only. The third one must know
+// both, neither may consider itself cut off, and everything must be known again
+// once the connection is back.
+TEST(RegionPlay, twoRegionsCutOffFromEachOtherRecover) {
   Fleet Hosts(30, 3);
   Hosts.play(4s);
   Hosts.cut(0, 1, true);
@@ -301,64 +306,65 @@
   checkAllKnown(Hosts, 30);
 }
 
-// A region is cut off from both others: the smaller part of the fleet must know
-// that it is the one, and not take over what the others hold.
-TEST(RegionPlay, aRegionThatLosesAllOthersKnowsThatItIsCutOff) {
+// A region is cut off from both others. The smaller part of the fleet must know
+// that it is the one cut off, and must not take over the others' shares.
+TEST(RegionPlay, regionThatLosesAllOthersKnowsItIsCutOff) {
   Fleet Hosts(30, 3);
   Hosts.play(4s);
   Hosts.cut(0, 1, true);
   Hosts.cut(0, 2, true);
-  Hosts.play(members::RegionBook::AliveFor + 200ms);
+  Hosts.play(members::RegionTable::AliveFor + 200ms);
   CHECK(Hosts.isCutOff(0));
   CHECK_FALSE(Hosts.isCutOff(1));
 }
 
-// All hosts lose power, and start anew a little later, with the list of hosts
-// as it was. Whoever was a speaker is one again, and is heard though its count
-// of news begins anew.
-TEST(RegionPlay, aFleetThatRestartsKnowsItselfWithinTwoSeconds) {
+// All hosts lose power and restart a little later with the same list of hosts.
+// Former representatives represent their region again, and must be accepted
+// although their sequence numbers start over.
+TEST(RegionPlay, restartedFleetKnowsItselfWithinTwoSeconds) {
   Fleet Hosts(95, 3);
   Hosts.play(4s);
-  for (std::size_t Each = 0; Each < 95; ++Each)
-    Hosts.restart(Each);
+  for (std::size_t Entry = 0; Entry < 95; ++Entry)
+    Hosts.restart(Entry);
   Hosts.play(2s);
   checkAllKnown(Hosts, 95);
 }
 
-// A region's speakers are killed and start anew a second later, before the
-// others have missed them. They are speakers again and have heard nobody yet:
-// what they would tell as their region's demand is a part of it, and others
-// would take the rest of each rate for theirs.
-TEST(RegionPlay, aSpeakerThatHasJustStartedDoesNotTellAPartForTheWhole) {
+// A region's representatives are killed and restart a second later, before the
+// others have missed them. They represent the region again but have received no
+// heartbeats yet. If they announced the demand they know, which is only a part,
+// other regions would take the rest of each rate.
+TEST(RegionPlay, restartedRepresentativeDoesNotAnnouncePartialDemand) {
   Fleet Hosts(30, 3);
-  for (std::size_t Each = 0; Each < 30; ++Each)
-    Hosts.setDemand(Each, 20);
+  for (std::size_t Entry = 0; Entry < 30; ++Entry)
+    Hosts.setDemand(Entry, 20);
   Hosts.play(6s);
-  DOUBLES_EQUAL(400, Hosts.farDemandAt(0), 1);
-  const std::vector<std::size_t> Killed = Hosts.speakersOf(1);
-  for (const std::size_t Each : Killed)
-    Hosts.setDown(Each, true);
+  DOUBLES_EQUAL(400, Hosts.remoteDemandAt(0), 1);
+  const std::vector<std::size_t> Killed = Hosts.representativesOf(1);
+  for (const std::size_t Entry : Killed)
+    Hosts.setDown(Entry, true);
   Hosts.play(1s);
-  for (const std::size_t Each : Killed) {
-    Hosts.restart(Each);
-    Hosts.setDemand(Each, 20);
+  for (const std::size_t Entry : Killed) {
+    Hosts.restart(Entry);
+    Hosts.setDemand(Entry, 20);
   }
   for (int Turn = 0; Turn < 30; ++Turn) {
     Hosts.play(100ms);
-    CHECK(Hosts.farDemandAt(0) >= 400 - 2 * 20);
+    CHECK(Hosts.remoteDemandAt(0) >= 400 - 2 * 20);
   }
 }
 
-// Between regions a host costs as much among hundreds as among a dozen; where
-// each tells each it was 0.12 GB in 26 s at 95.
-TEST(RegionPlay, bytesBetweenRegionsDoNotGrowWithHostsTimesHosts) {
+// Traffic between regions per host must be the same in fleets of hundreds and
+// of a dozen hosts. With messages from each host to each host it was 0.12 GB in
+// 26 s at 95 hosts.
+TEST(RegionPlay, trafficBetweenRegionsPerHostDoesNotGrowWithTheFleet) {
   std::map<std::size_t, double> PerHost;
   for (const std::size_t Count : {12U, 30U, 100U, 300U}) {
     Fleet Hosts(Count, 3);
     Hosts.play(6s);
-    Hosts.forgetBytes();
+    Hosts.resetBytes();
     Hosts.play(8s);
-    PerHost[Count] = double(Hosts.farBytes()) / 8 / double(Count);
+    PerHost[Count] = double(Hosts.remoteBytes()) / 8 / double(Count);
   }
   CHECK(PerHost[300] <= PerHost[30]);
   CHECK(PerHost[100] <= PerHost[12]);
--- a/tests/members/TokenExchangeTest.cpp
+++ b/tests/members/TokenExchangeTest.cpp
@@ -20,49 +20,48 @@
         base::Error Ignored;
 return members::decodeTokenMessage(Text, Ignored);
 }
-/// For messages that can be read.
-static TokenMessage read(const TokenMessage &Said) {
-  const auto Found = decode(members::encodeTokenMessage(Said));
+/// Encodes and decodes a message, and requires that decoding succeeds.
+static TokenMessage read(const TokenMessage &Message) {
+  const auto Found = decode(members::encodeTokenMessage(Message));
   CHECK(Found.has_value());
   return Found.value_or(TokenMessage());
 }
 }
 ;
 
-TEST(TokenMessages, aQuestionAndItsAnswersComeBackAsTheyWere) {
-  const TokenMessage Asked =
+TEST(TokenMessages, decodingRestoresRequestsAndAnswers) {
+  const TokenMessage Request =
       read({7, 42, base::CustomerId("parish"), std::nullopt});
-  LONGS_EQUAL(7, Asked.Start_);
-  LONGS_EQUAL(42, Asked.Ticket_);
-  STRCMP_EQUAL("parish", Asked.Customer_.name().c_str());
-  const TokenMessage Given = read({7, 42, {}, std::nullopt});
-  CHECK(Given.Customer_.empty());
-  CHECK_FALSE(Given.Wait_.has_value());
+  LONGS_EQUAL(7, Request.Incarnation_);
+  LONGS_EQUAL(42, Request.Ticket_);
+  STRCMP_EQUAL("parish", Request.Customer_.name().c_str());
+  const TokenMessage Granted = read({7, 42, {}, std::nullopt});
+  CHECK(Granted.Customer_.empty());
+  CHECK_FALSE(Granted.Wait_.has_value());
   const TokenMessage Refused = read({7, 42, {}, 250ms});
   CHECK(Refused.Wait_ == base::Duration(250ms));
 }
 
-TEST(TokenMessages, whatIsNoMessageIsNotTaken) {
+TEST(TokenMessages, otherTextsAreRejected) {
   for (const char *Text : {"", "[]", "{}", "x", R"({"start":"7","ticket":1})",
                            R"({"start":7})", R"({"start":7,"ticket":-1})"})
     CHECK_FALSE(decode(Text).has_value());
 }
 
-/// Two hosts on addresses of their own, of which the first keeps two tokens.
+/// Two hosts on addresses of their own; the first one owns two tokens.
 TEST_GROUP(TokenExchange) {
   asio::io_context Loop_;
   int Tokens_ = 2;
-  std::map<std::uint64_t, std::optional<base::Duration>> Heard_;
-  TokenExchange Keeper_{Loop_.get_executor(),
-                        {"127.0.71.1", 7471},
-                        1,
-                        {[this](const base::CustomerId &, base::TimePoint) {
-                           return Tokens_-- > 0
-                                      ? std::optional<base::Duration>()
-                                      : base::Duration(300ms);
-                         },
-                         [](auto, auto, auto) {}}};
-  TokenExchange Asker_{
+  std::map<std::uint64_t, std::optional<base::Duration>> Answers_;
+  TokenExchange Owner_{Loop_.get_executor(),
+                       {"127.0.71.1", 7471},
+                       1,
+                       {[this](const base::CustomerId &, base::TimePoint) {
+                          return Tokens_-- > 0 ? std::optional<base::Duration>()
+                                               : base::Duration(300ms);
+                        },
+                        [](auto, auto, auto) {}}};
+  TokenExchange Requester_{
       Loop_.get_executor(),
       {"127.0.71.2", 7471},
       2,
@@ -70,27 +69,28 @@
          return std::optional<base::Duration>();
        },
        [this](std::uint64_t Ticket, std::optional<base::Duration> Wait,
-              base::TimePoint) { Heard_[Ticket] = Wait; }}};
+              base::TimePoint) { Answers_[Ticket] = Wait; }}};
 
   void setup() override {
     base::Error Last;
-    CHECK(Keeper_.open(Last));
-    CHECK(Asker_.open(Last));
-    asio::co_spawn(Loop_, Keeper_.receiveAll(), asio::detached);
-    asio::co_spawn(Loop_, Asker_.receiveAll(), asio::detached);
+    CHECK(Owner_.open(Last));
+    CHECK(Requester_.open(Last));
+    asio::co_spawn(Loop_, Owner_.receiveAll(), asio::detached);
+    asio::co_spawn(Loop_, Requester_.receiveAll(), asio::detached);
   }
-  /// Runs until so many answers were heard; the runner ends a test that hangs.
-  void runUntilHeard(std::size_t Count) {
-    while (Heard_.size() < Count)
+  /// Runs until \p Count answers were received. The test runner ends a test
+  /// that hangs.
+  void runUntilAnswered(std::size_t Count) {
+    while (Answers_.size() < Count)
       Loop_.run_one();
   }
 };
 
-TEST(TokenExchange, tokensAreGivenWhileThereAreAny) {
+TEST(TokenExchange, tokensAreGrantedWhileAvailable) {
   for (std::uint64_t Ticket = 1; Ticket <= 3; ++Ticket)
-    Asker_.ask("127.0.71.1", Ticket, base::CustomerId("parish"));
-  runUntilHeard(3);
-  CHECK_FALSE(Heard_[1].has_value());
-  CHECK_FALSE(Heard_[2].has_value());
-  CHECK(Heard_[3] == base::Duration(300ms));
+    Requester_.ask("127.0.71.1", Ticket, base::CustomerId("parish"));
+  runUntilAnswered(3);
+  CHECK_FALSE(Answers_[1].has_value());
+  CHECK_FALSE(Answers_[2].has_value());
+  CHECK(Answers_[3] == base::Duration(300ms));
 }
