--- a/libs/placement/HomeSlots.cpp
+++ b/libs/placement/HomeSlots.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Mixes two hashes into one that depends on every bit of both (the finisher
+/// Mixes two hashes into one that depends on every bit of both (the finalizer
 /// of SplitMix64).
 std::uint64_t mix(std::uint64_t Left, std::uint64_t Right) noexcept {
   std::uint64_t Mixed = Left ^ (Right + 0x9e3779b97f4a7c15ULL);
@@ -19,8 +19,9 @@
   return Mixed ^ (Mixed >> 31);
 }
 
-/// \returns the host's score for a slot: exponential of the host's rate, so
-/// that the least score is a host's with a probability as its weight.
+/// \returns the host's score for a slot: exponentially distributed with the
+/// host's weight as its rate, so that the probability of having the lowest
+/// score is proportional to the weight.
 double scoreOf(std::uint64_t SlotHash, const HostWeight &Host) noexcept {
   const std::uint64_t Hash = mix(SlotHash, base::stableHash(Host.Host_.name()));
   const double Unit = (static_cast<double>(Hash >> 11) + 0.5) * 0x1.0p-53;
@@ -32,28 +33,29 @@
 std::uint32_t homeSlots(const base::TargetId &Target, std::uint32_t Slots,
                         const HostWeight &Self,
                         std::span<const HostWeight> Others) noexcept {
-  std::uint32_t Mine = 0;
+  std::uint32_t HomeCount = 0;
   for (std::uint32_t Slot = 0; Slot < Slots; ++Slot) {
     const std::uint64_t SlotHash = base::stableHash(Target.name(), Slot);
-    const double Own = scoreOf(SlotHash, Self);
-    const bool Least = std::all_of(Others.begin(), Others.end(),
-                                   [SlotHash, Own](const HostWeight &Other) {
-                                     return scoreOf(SlotHash, Other) > Own;
-                                   });
-    if (Least)
-      ++Mine;
+    const double OwnScore = scoreOf(SlotHash, Self);
+    const bool HasLowestScore =
+        std::all_of(Others.begin(), Others.end(),
+                    [SlotHash, OwnScore](const HostWeight &Other) {
+                      return scoreOf(SlotHash, Other) > OwnScore;
+                    });
+    if (HasLowestScore)
+      ++HomeCount;
   }
-  return Mine;
+  return HomeCount;
 }
 
 std::uint32_t homeSlots(const base::TargetId &Target, std::uint32_t Slots,
                         const base::HostId &Self,
                         std::span<const base::HostId> Others) {
-  std::vector<HostWeight> Equal;
-  Equal.reserve(Others.size());
-  for (const base::HostId &Each : Others)
-    Equal.push_back({Each, 1});
-  return homeSlots(Target, Slots, HostWeight{Self, 1}, Equal);
+  std::vector<HostWeight> EqualWeights;
+  EqualWeights.reserve(Others.size());
+  for (const base::HostId &Host : Others)
+    EqualWeights.push_back({Host, 1});
+  return homeSlots(Target, Slots, HostWeight{Self, 1}, EqualWeights);
 }
 
 } // namespace lychee::placement
--- a/libs/placement/HomeSlots.h
+++ b/libs/placement/HomeSlots.h
@@ -8,28 +8,29 @@
 
 namespace lychee::placement {
 
-/// A host that sends to a pool, and how much of the work it brings.
+/// A host that sends to a pool, with its share of the pool's traffic.
 struct HostWeight {
   base::HostId Host_;
-  /// Relative to the others; above zero.
+  /// Relative to the weights of the other hosts; above zero.
   double Weight_ = 1;
 };
 
-/// \returns how many of the slots of \p Target are the home of \p Self: each
-/// slot belongs to one host by weighted rendezvous hashing, so that the hosts'
-/// home slots add up to all slots, a host has as many as its weight demands,
-/// and a changed weight or a lost host moves only the slots that it must.
+/// \returns the number of slots of \p Target whose home is \p Self. Each slot
+/// has exactly one home host, chosen by weighted rendezvous hashing: the home
+/// slots of all hosts add up to all slots, a host's number of home slots is
+/// proportional to its weight, and a changed weight or a lost host moves no
+/// more slots than necessary.
 ///
-/// Load pattern: targets with 3 or 4 slots, shared by 8 to 12 hosts that learn
-/// of each other's sends long after they have ended. Hosts that all prefer the
-/// least loaded target meet there; a host that begins with its own slots meets
-/// no one until its share is used up. \see TargetPool
+/// Load pattern: 8 to 12 hosts share targets with 3 or 4 slots and learn of
+/// each other's sends only long after these have ended. Hosts that all prefer
+/// the least loaded target collide there; a host that uses its home slots first
+/// collides with no other host until its share is used up. \see TargetPool
 std::uint32_t homeSlots(const base::TargetId &Target, std::uint32_t Slots,
                         const HostWeight &Self,
                         std::span<const HostWeight> Others) noexcept;
 
-/// The same with equal weights, where all hosts must come to the same result
-/// from the list of members alone.
+/// The same with equal weights, for divisions that all hosts must compute
+/// identically from the list of members alone.
 std::uint32_t homeSlots(const base::TargetId &Target, std::uint32_t Slots,
                         const base::HostId &Self,
                         std::span<const base::HostId> Others);
--- a/libs/placement/PeerLoads.cpp
+++ b/libs/placement/PeerLoads.cpp
@@ -5,93 +5,93 @@
 namespace lychee::placement {
 
 void PeerLoads::setPeers(std::span<const base::HostId> Peers) {
-  std::map<base::HostId, Row> Kept;
+  std::map<base::HostId, PeerReport> Kept;
   for (const base::HostId &Peer : Peers) {
-    const auto Known = Rows_.find(Peer);
-    if (Known == Rows_.end()) {
+    const auto Known = Reports_.find(Peer);
+    if (Known == Reports_.end()) {
       Kept.try_emplace(Peer);
       continue;
     }
     Kept.emplace(Peer, std::move(Known->second));
-    Rows_.erase(Known);
+    Reports_.erase(Known);
   }
-  for (auto &[Peer, Gone] : Rows_)
-    withdraw(Gone);
-  Rows_ = std::move(Kept);
+  for (auto &[Peer, Removed] : Reports_)
+    subtract(Removed);
+  Reports_ = std::move(Kept);
 }
 
-void PeerLoads::heard(const base::HostId &Peer,
-                      std::span<const InFlight> Counts, base::TimePoint Now) {
-  const auto Known = Rows_.find(Peer);
-  if (Known == Rows_.end())
+void PeerLoads::update(const base::HostId &Peer,
+                       std::span<const InFlight> Counts, base::TimePoint Now) {
+  const auto Known = Reports_.find(Peer);
+  if (Known == Reports_.end())
     return;
-  Row &Line = Known->second;
-  const base::Duration Since = Now - Line.At_;
-  withdraw(Line);
-  Line.Counts_.assign(Counts.begin(), Counts.end());
-  Line.At_ = Now;
-  Line.Heard_ = true;
-  ++Heard_;
-  Times_ += sinceStart(Now);
+  PeerReport &Report = Known->second;
+  const base::Duration SinceLast = Now - Report.ReceivedAt_;
+  subtract(Report);
+  Report.Counts_.assign(Counts.begin(), Counts.end());
+  Report.ReceivedAt_ = Now;
+  Report.IsCounted_ = true;
+  ++ReportingPeers_;
+  ReceivedAtSum_ += toMicroseconds(Now);
   double Sum = 0;
-  for (const InFlight &Each : Line.Counts_) {
-    if (Each.Target_ >= Sums_.size())
-      Sums_.resize(Each.Target_ + 1);
-    Sums_[Each.Target_] += Each.Count_;
-    Total_ += Each.Count_;
-    Sum += Each.Count_;
+  for (const InFlight &Entry : Report.Counts_) {
+    if (Entry.Target_ >= Sums_.size())
+      Sums_.resize(Entry.Target_ + 1);
+    Sums_[Entry.Target_] += Entry.Count_;
+    Total_ += Entry.Count_;
+    Sum += Entry.Count_;
   }
-  Line.Smoothed_ = smoothed(Line.Smoothed_, Sum, Since);
+  Report.Smoothed_ = smoothed(Report.Smoothed_, Sum, SinceLast);
 }
 
 void PeerLoads::addWeights(double Mean,
                            std::vector<HostWeight> &Weights) const {
-  // No host falls below a quarter of the mean: its first requests after a
-  // quiet time need a home too.
-  static constexpr double Least = 0.25;
-  for (const auto &[Peer, Line] : Rows_)
-    Weights.push_back({Peer, std::max(Least, Line.Smoothed_ / Mean)});
+  // No host falls below a quarter of the mean: its first requests after an idle
+  // period need home slots too.
+  static constexpr double MinWeight = 0.25;
+  for (const auto &[Peer, Report] : Reports_)
+    Weights.push_back({Peer, std::max(MinWeight, Report.Smoothed_ / Mean)});
 }
 
 double PeerLoads::smoothedTotal() const noexcept {
   double Sum = 0;
-  for (const auto &[Peer, Line] : Rows_)
-    Sum += Line.Smoothed_;
+  for (const auto &[Peer, Report] : Reports_)
+    Sum += Report.Smoothed_;
   return Sum;
 }
 
-double PeerLoads::smoothed(double Old, double Count,
+double PeerLoads::smoothed(double Average, double Count,
                            base::Duration Time) noexcept {
-  // Homes are to follow where callers go, not single requests.
-  static constexpr double Memory = 2; // seconds
+  // Home slots follow changes of where callers send, not single requests.
+  static constexpr double TimeConstantSeconds = 2;
   const double Weight = base::toSeconds(Time);
-  return Old + (Count - Old) * Weight / (Weight + Memory);
+  return Average + (Count - Average) * Weight / (Weight + TimeConstantSeconds);
 }
 
 void PeerLoads::tick(base::TimePoint Now) {
-  for (auto &[Peer, Line] : Rows_)
-    if (Line.Heard_ && Now - Line.At_ > Silence)
-      withdraw(Line);
+  for (auto &[Peer, Report] : Reports_)
+    if (Report.IsCounted_ && Now - Report.ReceivedAt_ > ReportTimeout)
+      subtract(Report);
 }
 
-base::Duration PeerLoads::age(base::TimePoint Now) const noexcept {
-  if (Heard_ == 0)
+base::Duration PeerLoads::meanAge(base::TimePoint Now) const noexcept {
+  if (ReportingPeers_ == 0)
     return base::Duration::max();
-  const base::TimePoint Mean{Times_ / Heard_};
+  const base::TimePoint Mean{ReceivedAtSum_ / ReportingPeers_};
   return std::max(base::Duration::zero(), Now - Mean);
 }
 
-void PeerLoads::withdraw(Row &Old) noexcept {
-  if (!Old.Heard_)
+void PeerLoads::subtract(PeerReport &Report) noexcept {
+  if (!Report.IsCounted_)
     return;
-  Old.Heard_ = false;
-  --Heard_;
-  Times_ -= sinceStart(Old.At_);
-  for (const InFlight &Each : Old.Counts_) {
-    Sums_[Each.Target_] -= Each.Count_;
-    Total_ -= Each.Count_;
+  Report.IsCounted_ = false;
+  --ReportingPeers_;
+  ReceivedAtSum_ -= toMicroseconds(Report.ReceivedAt_);
+  for (const InFlight &Entry : Report.Counts_) {
+    Sums_[Entry.Target_] -= Entry.Count_;
+    Total_ -= Entry.Count_;
   }
-  Old.Counts_.clear();
+  Report.Counts_.clear();
 }
 
 } // namespace lychee::placement
--- a/libs/placement/RegionChooser.h
+++ b/libs/placement/RegionChooser.h
@@ -10,51 +10,52 @@
 
 namespace lychee::placement {
 
-/// A region that could take a request, as things stand.
+/// A candidate region for a request, with its current state.
 struct RegionOption {
-  /// Targets that get work there. \see PoolState
-  std::uint32_t Usable_ = 0;
-  /// True where this host knows of a free slot.
-  bool Room_ = false;
-  /// Wait in this host's line for the region, where there is no room.
-  base::Duration Wait_{};
-  /// Time that the way there and back adds; zero for the nearest.
+  /// Number of targets that accept new requests. \see PoolState
+  std::uint32_t UsableTargets_ = 0;
+  /// Whether this host knows of a free slot.
+  bool HasFreeSlot_ = false;
+  /// Expected wait in this host's queue for the region; used only where no slot
+  /// is free.
+  base::Duration ExpectedWait_{};
+  /// Added round trip time; zero for the nearest region.
   base::Duration RoundTrip_{};
-  /// Whether this host may still steer work into the region, of its share of
-  /// the region's headroom. Not asked for the caller's own region.
-  bool Headroom_ = true;
+  /// Whether this host's share of the region's headroom lets it steer more
+  /// requests there. Ignored for the caller's own region.
+  bool HasHeadroom_ = true;
   /// Whether this host's share of the link's rate lets the request pass.
-  bool Link_ = true;
+  bool LinkHasCapacity_ = true;
 };
 
-/// The region that takes a request, and why.
+/// The chosen region and the reason.
 struct RegionChoice {
-  /// Position in the options; nothing where the request is refused.
+  /// Index in the options; empty where the request is refused.
   std::optional<std::size_t> Region_;
-  /// "nearest", "nearest-wait", "spill-full", "spill-lost"; without a region
+  /// "nearest", "nearest-wait", "spill-full" or "spill-lost"; without a region
   /// "no-healthy-target", "no-headroom" or "no-link".
   std::string_view Reason_;
 };
 
-/// Which region takes a request: the nearest that can.
+/// Chooses the region for a request: the nearest one that can serve it.
 ///
-/// Load patterns: a region's targets are full or lost. Sending everything that
-/// does not fit to the next region takes that down too, and its callers with
-/// it. So work is steered away only as far as the other region's headroom and
-/// the link allow, both shares of a total over all hosts; what is left waits
-/// or is refused. And only where it gains time: a short wait at home beats a
-/// 40 ms round trip to another region's cold cache.
+/// Load patterns: a region's targets are full or lost. Sending all of the
+/// excess to the next region overloads that region and its own callers too.
+/// Requests are therefore steered away only within the other region's headroom
+/// and the rate of the link, both divided among all hosts; the rest waits or is
+/// refused. They are steered away only where this saves time: a short wait at
+/// home beats a 40 ms round trip to a region with cold caches.
 ///
-/// Thread-safe: no state.
+/// Thread-safe: stateless.
 class RegionChooser {
 public:
-  /// A wait at home must be longer than the other round trip by this factor
-  /// before work is steered away: estimates of waits are off by about as much,
-  /// and steered work meets a cold cache.
+  /// The wait in the nearest region must exceed the other region's round trip
+  /// by this factor before a request is steered away: wait estimates are off by
+  /// about as much, and steered requests find cold caches.
   static constexpr int WaitFactor = 2;
 
-  /// \param Options  the regions for this caller in order of preference, the
-  /// first being its own.
+  /// \param Options  the candidate regions in the caller's order of preference,
+  /// the caller's own region first.
   static RegionChoice choose(std::span<const RegionOption> Options) noexcept;
 };
 
--- a/libs/placement/TargetHealth.cpp
+++ b/libs/placement/TargetHealth.cpp
@@ -6,85 +6,91 @@
 
 namespace {
 
-/// Weight of one sample: the last eight or so count.
+/// Weight of one sample in the moving averages: about the last eight samples
+/// count.
 constexpr double SampleWeight = 1.0 / 8;
 
 } // namespace
 
-void TargetHealth::observe(Outcome Seen, base::Duration Took) noexcept {
-  if (Seen == Outcome::Cancelled)
+void TargetHealth::observe(Outcome Result, base::Duration Latency) noexcept {
+  if (Result == Outcome::Cancelled)
     return;
-  if (Seen == Outcome::Unreachable) {
-    ++UnreachableInRow_;
+  if (Result == Outcome::Unreachable) {
+    ++ConsecutiveUnreachable_;
     return;
   }
-  UnreachableInRow_ = 0;
-  if (Seen == Outcome::Shed)
+  ConsecutiveUnreachable_ = 0;
+  if (Result == Outcome::Shed)
     return;
-  const double IsFaulty = Seen == Outcome::Faulty ? 1 : 0;
-  Faulty_ += (IsFaulty - Faulty_) * SampleWeight;
-  const bool First = Samples_ == 0;
+  const double IsFaulty = Result == Outcome::Faulty ? 1 : 0;
+  FaultyShare_ += (IsFaulty - FaultyShare_) * SampleWeight;
+  const bool IsFirst = Samples_ == 0;
   ++Samples_;
-  if (Seen != Outcome::Success)
+  if (Result != Outcome::Success)
     return;
-  const auto Step = static_cast<double>((Took - Latency_).count());
+  const auto Deviation = static_cast<double>((Latency - Latency_).count());
   Latency_ +=
-      First ? Took
-            : base::Duration(static_cast<std::int64_t>(Step * SampleWeight));
+      IsFirst
+          ? Latency
+          : base::Duration(static_cast<std::int64_t>(Deviation * SampleWeight));
 }
 
-TargetHealth::Sign
-TargetHealth::sign(base::Duration MedianLatency) const noexcept {
-  if (UnreachableInRow_ >= UnreachableInRow)
-    return Sign::Unreachable;
-  if (Samples_ < LeastSamples)
-    return Sign::None;
-  if (Faulty_ > FaultyShare)
-    return Sign::Faulty;
-  const bool Known = MedianLatency > base::Duration::zero();
-  if (Known &&
+TargetHealth::Symptom
+TargetHealth::symptom(base::Duration MedianLatency) const noexcept {
+  if (ConsecutiveUnreachable_ >= UnreachableThreshold)
+    return Symptom::Unreachable;
+  if (Samples_ < MinSamples)
+    return Symptom::None;
+  if (FaultyShare_ > FaultyThreshold)
+    return Symptom::Faulty;
+  const bool IsMedianKnown = MedianLatency > base::Duration::zero();
+  if (IsMedianKnown &&
       base::toSeconds(Latency_) > SlowFactor * base::toSeconds(MedianLatency))
-    return Sign::Slow;
-  return Sign::None;
+    return Symptom::Slow;
+  return Symptom::None;
 }
 
 base::TimePoint TargetHealth::eject(base::TimePoint Now) noexcept {
-  // Ejections long past say little about this one.
-  static constexpr base::Duration Forgotten = 2 * LongestEjection;
-  if (Now - EjectedUntil_ > Forgotten)
-    Ejections_ = 0;
-  static constexpr std::uint32_t MostDoublings = 5;
-  const auto Doublings = std::min(Ejections_, MostDoublings);
-  ++Ejections_;
+  // An ejection that ended long ago says little about the present one.
+  static constexpr base::Duration MemoryTime = 2 * MaxEjectionTime;
+  if (Now - EjectedUntil_ > MemoryTime)
+    EjectionCount_ = 0;
+  static constexpr std::uint32_t MaxDoublings = 5;
+  const auto Doublings = std::min(EjectionCount_, MaxDoublings);
+  ++EjectionCount_;
   EjectedUntil_ =
-      Now + std::min(LongestEjection, FirstEjection * (1U << Doublings));
-  // What was seen before says nothing of the target that comes back; one more
-  // unreachable send is enough to take it out again.
-  SlowSince_ = EjectedUntil_;
+      Now + std::min(MaxEjectionTime, BaseEjectionTime * (1U << Doublings));
+  // Earlier samples say nothing about the target that returns. One more
+  // unreachable send is enough to eject it again.
+  SlowStartBegin_ = EjectedUntil_;
   Samples_ = 0;
-  Faulty_ = 0;
+  FaultyShare_ = 0;
   Latency_ = {};
-  UnreachableInRow_ = std::min(UnreachableInRow_, UnreachableInRow - 1);
+  ConsecutiveUnreachable_ =
+      std::min(ConsecutiveUnreachable_, UnreachableThreshold - 1);
   return EjectedUntil_;
 }
 
 std::uint32_t TargetHealth::usableSlots(std::uint32_t Slots,
                                         base::TimePoint Now) const noexcept {
-  const auto Open = static_cast<std::uint32_t>(passedPart(Now) * Slots);
-  return std::clamp(Open + 1, 1U, Slots);
+  const auto OpenSlots =
+      static_cast<std::uint32_t>(slowStartProgress(Now) * Slots);
+  return std::clamp(OpenSlots + 1, 1U, Slots);
 }
 
-std::uint32_t TargetHealth::usableShare(std::uint32_t Share, double Place,
+std::uint32_t TargetHealth::usableShare(std::uint32_t Share, double HostRank,
                                         base::TimePoint Now) const noexcept {
-  // A third from the start on: about one slot of three or four.
-  static constexpr double LeastPart = 0.34;
-  const double Part = std::max(LeastPart, passedPart(Now));
-  return std::min(Share, static_cast<std::uint32_t>(Part * Share + Place));
+  // A third from the beginning: about one slot of three or four.
+  static constexpr double MinProgress = 0.34;
+  const double Progress = std::max(MinProgress, slowStartProgress(Now));
+  return std::min(Share,
+                  static_cast<std::uint32_t>(Progress * Share + HostRank));
 }
 
-double TargetHealth::passedPart(base::TimePoint Now) const noexcept {
-  return std::clamp(
-      base::toSeconds(Now - SlowSince_) / base::toSeconds(SlowStart), 0.0, 1.0);
+double TargetHealth::slowStartProgress(base::TimePoint Now) const noexcept {
+  return std::clamp(base::toSeconds(Now - SlowStartBegin_) /
+                        base::toSeconds(SlowStartWindow),
+                    0.0, 1.0);
 }
 
 } // namespace lychee::placement
--- a/libs/placement/TargetPool.cpp
+++ b/libs/placement/TargetPool.cpp
@@ -9,15 +9,17 @@
 
 using Trust = PoolState::Trust;
 
-/// One request at a time finds out whether a lost pool is back.
-constexpr base::Duration ProbePace = std::chrono::milliseconds(500);
+/// Interval between the probes that find out whether a lost pool answers again.
+constexpr base::Duration ProbeInterval = std::chrono::milliseconds(500);
 
-void pass(TargetChoice &Choice, TargetIndex Target, std::string_view Reason) {
-  if (Choice.PassedCount_ < TargetChoice::MostPassed)
-    Choice.Passed_[Choice.PassedCount_++] = {Target, Reason};
+void addPassedOver(TargetChoice &Choice, TargetIndex Target,
+                   std::string_view Reason) {
+  if (Choice.PassedOverCount_ < TargetChoice::MaxPassedOver)
+    Choice.PassedOver_[Choice.PassedOverCount_++] = {Target, Reason};
 }
 
-void take(TargetChoice &Choice, TargetIndex Target, std::string_view Reason) {
+void setTarget(TargetChoice &Choice, TargetIndex Target,
+               std::string_view Reason) {
   Choice.Target_ = Target;
   Choice.Reason_ = Reason;
 }
@@ -38,11 +40,11 @@
   }
   if (trust(Now) == Trust::Lost)
     return probe(Now, Random);
-  const bool Divided = Entries_[Active_.front()].Share_.has_value();
-  if (Limits_.PreferHomeSlots_ && !Divided &&
-      tryHome(Excluded, Now, Random, Choice))
+  const bool IsDivided = Targets_[Active_.front()].SlotShare_.has_value();
+  if (Limits_.PreferHomeSlots_ && !IsDivided &&
+      tryHomeSlots(Excluded, Now, Random, Choice))
     return Choice;
-  if (tryTwo(Active_, Excluded, Now, Random, Choice))
+  if (tryTwoChoices(Active_, Excluded, Now, Random, Choice))
     return Choice;
   if (tryScan(Excluded, Now, Random, Choice))
     return Choice;
@@ -50,101 +52,106 @@
   return Choice;
 }
 
-bool TargetPool::mayUse(TargetIndex Target,
-                        std::span<const TargetIndex> Excluded,
-                        base::TimePoint Now,
-                        TargetChoice &Choice) const noexcept {
+bool TargetPool::isEligible(TargetIndex Target,
+                            std::span<const TargetIndex> Excluded,
+                            base::TimePoint Now,
+                            TargetChoice &Choice) const noexcept {
   if (contains(Excluded, Target)) {
-    pass(Choice, Target, "just-tried");
+    addPassedOver(Choice, Target, "just-tried");
     return false;
   }
-  if (Now >= SuspectUntil_ && Entries_[Target].Health_.isEjected(Now)) {
-    pass(Choice, Target, "ejected");
+  if (Now >= SuspectUntil_ && Targets_[Target].Health_.isEjected(Now)) {
+    addPassedOver(Choice, Target, "ejected");
     return false;
   }
   return true;
 }
 
-TargetPool::Weighed TargetPool::weigh(TargetIndex Target,
-                                      base::TimePoint Now) const noexcept {
-  const Entry &Each = Entries_[Target];
-  const std::uint32_t Usable = Each.Health_.usableSlots(Each.Slots_, Now);
-  if (Each.Share_) {
-    const std::uint32_t Mine =
-        Each.Health_.usableShare(*Each.Share_, Each.Place_, Now);
-    const bool Room = Each.Own_ < Mine && Now >= Each.FullUntil_;
-    return {Target, static_cast<double>(Each.Own_) / Usable, Room};
+TargetPool::Candidate TargetPool::evaluate(TargetIndex Target,
+                                           base::TimePoint Now) const noexcept {
+  const TargetState &State = Targets_[Target];
+  const std::uint32_t Usable = State.Health_.usableSlots(State.Slots_, Now);
+  if (State.SlotShare_) {
+    const std::uint32_t OwnSlots =
+        State.Health_.usableShare(*State.SlotShare_, State.SlowStartRank_, Now);
+    const bool HasFreeSlot =
+        State.OwnInFlight_ < OwnSlots && Now >= State.AssumedFullUntil_;
+    return {Target, static_cast<double>(State.OwnInFlight_) / Usable,
+            HasFreeSlot};
   }
   const double Load = load(Target, Now);
-  // Others' part is an estimate.
-  const bool Free =
-      Each.Own_ < Usable && Load + 1 + Limits_.FreeSlotMargin_ <= Usable;
-  return {Target, Load / Usable, Free};
+  // Other hosts' load is an estimate.
+  const bool HasFreeSlot = State.OwnInFlight_ < Usable &&
+                           Load + 1 + Limits_.FreeSlotMargin_ <= Usable;
+  return {Target, Load / Usable, HasFreeSlot};
 }
 
-std::uint32_t TargetPool::freeShare(TargetIndex Target,
+std::uint32_t TargetPool::freeSlots(TargetIndex Target,
                                     base::TimePoint Now) const noexcept {
-  const Entry &Each = Entries_[Target];
-  if (Each.Health_.isEjected(Now) || Now < Each.FullUntil_)
+  const TargetState &State = Targets_[Target];
+  if (State.Health_.isEjected(Now) || Now < State.AssumedFullUntil_)
     return 0;
-  const std::uint32_t Mine =
-      Each.Share_ ? Each.Health_.usableShare(*Each.Share_, Each.Place_, Now)
-                  : Each.Health_.usableSlots(Each.Slots_, Now);
-  return Mine > Each.Own_ ? Mine - Each.Own_ : 0;
+  const std::uint32_t OwnSlots =
+      State.SlotShare_ ? State.Health_.usableShare(*State.SlotShare_,
+                                                   State.SlowStartRank_, Now)
+                       : State.Health_.usableSlots(State.Slots_, Now);
+  return OwnSlots > State.OwnInFlight_ ? OwnSlots - State.OwnInFlight_ : 0;
 }
 
-bool TargetPool::tryHome(std::span<const TargetIndex> Excluded,
-                         base::TimePoint Now, base::Random &Random,
-                         TargetChoice &Choice) const noexcept {
-  if (Homes_.empty())
+bool TargetPool::tryHomeSlots(std::span<const TargetIndex> Excluded,
+                              base::TimePoint Now, base::Random &Random,
+                              TargetChoice &Choice) const noexcept {
+  if (HomeTargets_.empty())
     return false;
-  const auto Count = static_cast<std::uint32_t>(Homes_.size());
+  const auto Count = static_cast<std::uint32_t>(HomeTargets_.size());
   const std::uint32_t Start = base::drawBelow(Random, Count);
   for (std::uint32_t Step = 0; Step < Count; ++Step) {
-    const TargetIndex Target = Homes_[(Start + Step) % Count];
-    const Entry &Each = Entries_[Target];
-    if (Each.Own_ >=
-        std::min(Each.Home_, Each.Health_.usableSlots(Each.Slots_, Now)))
+    const TargetIndex Target = HomeTargets_[(Start + Step) % Count];
+    const TargetState &State = Targets_[Target];
+    if (State.OwnInFlight_ >=
+        std::min(State.HomeSlots_,
+                 State.Health_.usableSlots(State.Slots_, Now)))
       continue;
-    if (!mayUse(Target, Excluded, Now, Choice))
+    if (!isEligible(Target, Excluded, Now, Choice))
       continue;
-    // What peers said of it is too old to keep a host from its own slots: that
-    // left whole hosts waiting beside free targets. Its own shed is not.
-    if (Now < Each.FullUntil_)
+    // Peers' reports are too old to keep a host from its own slots: obeying
+    // them left whole hosts waiting beside free targets. A shed that this host
+    // saw itself counts.
+    if (Now < State.AssumedFullUntil_)
       continue;
-    take(Choice, Target, "home");
+    setTarget(Choice, Target, "home");
     return true;
   }
   return false;
 }
 
-bool TargetPool::tryTwo(std::span<const TargetIndex> From,
-                        std::span<const TargetIndex> Excluded,
-                        base::TimePoint Now, base::Random &Random,
-                        TargetChoice &Choice) const noexcept {
+bool TargetPool::tryTwoChoices(std::span<const TargetIndex> From,
+                               std::span<const TargetIndex> Excluded,
+                               base::TimePoint Now, base::Random &Random,
+                               TargetChoice &Choice) const noexcept {
   const auto Count = static_cast<std::uint32_t>(From.size());
   const TargetIndex First = From[base::drawBelow(Random, Count)];
   const TargetIndex Second = From[base::drawBelow(Random, Count)];
-  Weighed Best;
+  Candidate Best;
   for (const TargetIndex Target : {First, Second}) {
-    if (!mayUse(Target, Excluded, Now, Choice))
+    if (!isEligible(Target, Excluded, Now, Choice))
       continue;
-    const Weighed Drawn = weigh(Target, Now);
-    if (!Drawn.Free_) {
-      pass(Choice, Target, "full");
+    const Candidate Drawn = evaluate(Target, Now);
+    if (!Drawn.HasFreeSlot_) {
+      addPassedOver(Choice, Target, "full");
       continue;
     }
-    if (!Best.Free_ || Drawn.Load_ < Best.Load_)
+    if (!Best.HasFreeSlot_ || Drawn.Load_ < Best.Load_)
       Best = Drawn;
   }
-  if (!Best.Free_)
+  if (!Best.HasFreeSlot_)
     return false;
   if (First != Second && First != Best.Target_)
-    pass(Choice, First, "more-load");
+    addPassedOver(Choice, First, "more-load");
   if (First != Second && Second != Best.Target_)
-    pass(Choice, Second, "more-load");
-  take(Choice, Best.Target_,
-       Now < SuspectUntil_ ? "suspect-measurement" : "two-choices");
+    addPassedOver(Choice, Second, "more-load");
+  setTarget(Choice, Best.Target_,
+            Now < SuspectUntil_ ? "suspect-measurement" : "two-choices");
   return true;
 }
 
@@ -153,20 +160,21 @@
                          TargetChoice &Choice) const noexcept {
   const auto Count = static_cast<std::uint32_t>(Active_.size());
   const std::uint32_t Start = base::drawBelow(Random, Count);
-  Weighed Best;
+  Candidate Best;
   for (std::uint32_t Step = 0; Step < std::min(Count, Limits_.MaxScanned_);
        ++Step) {
     const TargetIndex Target = Active_[(Start + Step) % Count];
-    if (!mayUse(Target, Excluded, Now, Choice))
+    if (!isEligible(Target, Excluded, Now, Choice))
       continue;
-    const Weighed Seen = weigh(Target, Now);
-    if (Seen.Free_ && (!Best.Free_ || Seen.Load_ < Best.Load_))
-      Best = Seen;
+    const Candidate Scanned = evaluate(Target, Now);
+    if (Scanned.HasFreeSlot_ &&
+        (!Best.HasFreeSlot_ || Scanned.Load_ < Best.Load_))
+      Best = Scanned;
   }
-  if (!Best.Free_)
+  if (!Best.HasFreeSlot_)
     return false;
-  take(Choice, Best.Target_,
-       Now < SuspectUntil_ ? "suspect-measurement" : "scan");
+  setTarget(Choice, Best.Target_,
+            Now < SuspectUntil_ ? "suspect-measurement" : "scan");
   return true;
 }
 
@@ -174,119 +182,125 @@
                                base::Random &Random) noexcept {
   TargetChoice Choice;
   Choice.Reason_ = "all-lost";
-  if (Now - LastProbe_ < ProbePace)
+  if (Now - LastProbe_ < ProbeInterval)
     return Choice;
   const auto Count = static_cast<std::uint32_t>(Active_.size());
   const std::uint32_t Start = base::drawBelow(Random, Count);
   for (std::uint32_t Step = 0; Step < Count; ++Step) {
     const TargetIndex Target = Active_[(Start + Step) % Count];
-    const Entry &Each = Entries_[Target];
-    // A probe needs a slot like any request: when the pool comes back, all
-    // hosts' probes and the work that others begin meet there.
-    if (Each.Own_ >= Each.Share_.value_or(Each.Slots_))
+    const TargetState &State = Targets_[Target];
+    // A probe needs a slot like any request: when the pool recovers, the probes
+    // of all hosts and the first requests meet there.
+    if (State.OwnInFlight_ >= State.SlotShare_.value_or(State.Slots_))
       continue;
     LastProbe_ = Now;
-    take(Choice, Target, "probe");
+    setTarget(Choice, Target, "probe");
     return Choice;
   }
   return Choice;
 }
 
 void TargetPool::recordStart(TargetIndex Target) noexcept {
-  ++Entries_[Target].Own_;
-  ++OwnTotal_;
+  ++Targets_[Target].OwnInFlight_;
+  ++OwnInFlightTotal_;
 }
 
-void TargetPool::recordFinish(TargetIndex Target, Outcome Seen,
-                              base::Duration Took,
+void TargetPool::recordFinish(TargetIndex Target, Outcome Result,
+                              base::Duration Latency,
                               base::TimePoint Now) noexcept {
-  Entry &Each = Entries_[Target];
-  assert(Each.Own_ > 0 && "what ends was started");
-  --Each.Own_;
-  --OwnTotal_;
-  Each.Health_.observe(Seen, Took);
-  if (Seen == Outcome::Cancelled)
+  TargetState &State = Targets_[Target];
+  assert(State.OwnInFlight_ > 0 && "a request that ends was started");
+  --State.OwnInFlight_;
+  --OwnInFlightTotal_;
+  State.Health_.observe(Result, Latency);
+  if (Result == Outcome::Cancelled)
     return;
-  if (Seen == Outcome::Unreachable) {
+  if (Result == Outcome::Unreachable) {
     ++UnreachableSinceAnswer_;
   } else {
     UnreachableSinceAnswer_ = 0;
     LastAnswer_ = Now;
   }
-  if (Seen == Outcome::Shed) {
-    // Full until about one of its requests has ended.
-    static constexpr base::Duration Unmeasured = std::chrono::milliseconds(20);
-    Each.FullUntil_ =
-        Now +
-        (MedianLatency_ > base::Duration::zero() ? MedianLatency_ : Unmeasured);
-    // A target that sheds has no free slot, whatever it reported.
-    if (Each.Report_.Load_ < Each.Slots_)
-      Each.Report_.Trust_ /= 2;
+  if (Result == Outcome::Shed) {
+    // Assumed to be full until about one of its requests has ended.
+    static constexpr base::Duration DefaultLatency =
+        std::chrono::milliseconds(20);
+    State.AssumedFullUntil_ =
+        Now + (MedianLatency_ > base::Duration::zero() ? MedianLatency_
+                                                       : DefaultLatency);
+    // A target that sheds has no free slot, so a report of free slots is wrong.
+    if (State.Report_.Load_ < State.Slots_)
+      State.Report_.Confidence_ /= 2;
   }
-  judge(Target, Now);
+  updateEjection(Target, Now);
 }
 
 void TargetPool::recordReport(TargetIndex Target, std::uint32_t Load,
                               base::TimePoint MeasuredAt) noexcept {
-  Entry &Each = Entries_[Target];
-  if (MeasuredAt <= Each.Report_.At_)
+  TargetState &State = Targets_[Target];
+  if (MeasuredAt <= State.Report_.MeasuredAt_)
     return;
-  // Trust comes back slowly: a liar must not win it with one report.
-  static constexpr float TrustRegained = 0.1F;
-  const bool First = Each.Report_.At_ == base::TimePoint();
-  const float TrustNow =
-      First ? 1.0F : std::min(1.0F, Each.Report_.Trust_ + TrustRegained);
-  // More than twice its slots tells no more than "full": a lie of a thousand
-  // would keep the target idle long after.
-  Each.Report_ = {MeasuredAt, std::min(Load, 2 * Each.Slots_), Each.Own_,
-                  TrustNow};
+  // Confidence returns slowly: one report must not restore it for a target
+  // whose reports are wrong.
+  static constexpr float ConfidenceGain = 0.1F;
+  const bool First = State.Report_.MeasuredAt_ == base::TimePoint();
+  const float Confidence =
+      First ? 1.0F : std::min(1.0F, State.Report_.Confidence_ + ConfidenceGain);
+  // A load above twice the slots means no more than "full"; a wrong report of a
+  // thousand would keep the target idle long afterwards.
+  State.Report_ = {MeasuredAt, std::min(Load, 2 * State.Slots_),
+                   State.OwnInFlight_, Confidence};
 }
 
 double TargetPool::load(TargetIndex Target,
                         base::TimePoint Now) const noexcept {
-  const Entry &Each = Entries_[Target];
+  const TargetState &State = Targets_[Target];
   double Weight = 0;
-  double Others = othersWithoutReport(Target, Weight, Now);
-  const Report &Told = Each.Report_;
-  if (Told.Trust_ > 0 && Told.At_ != base::TimePoint()) {
-    // What runs at a target has changed about once after one request's time;
-    // a report as old as that is worth half of one made now.
+  double Others = estimateFromPeers(Target, Weight, Now);
+  const LoadReport &Report = State.Report_;
+  if (Report.Confidence_ > 0 && Report.MeasuredAt_ != base::TimePoint()) {
+    // The requests at a target change about once per request duration; a report
+    // of that age gets half the weight of a new one.
     const double Age =
-        base::toSeconds(Now - Told.At_) /
+        base::toSeconds(Now - Report.MeasuredAt_) /
         base::toSeconds(MedianLatency_ + std::chrono::milliseconds(10));
-    const double TellsOthers =
-        Told.Load_ > Told.Own_ ? Told.Load_ - Told.Own_ : 0;
-    const double ReportWeight = Told.Trust_ / (1 + std::max(0.0, Age));
-    Others = (Others * Weight + TellsOthers * ReportWeight) /
+    const double ReportedOthers = Report.Load_ > Report.OwnInFlight_
+                                      ? Report.Load_ - Report.OwnInFlight_
+                                      : 0;
+    const double ReportWeight = Report.Confidence_ / (1 + std::max(0.0, Age));
+    Others = (Others * Weight + ReportedOthers * ReportWeight) /
              (Weight + ReportWeight);
   }
-  const double Load = Each.Own_ + Others;
-  return Now < Each.FullUntil_ ? std::max<double>(Load, Each.Slots_) : Load;
+  const double Load = State.OwnInFlight_ + Others;
+  return Now < State.AssumedFullUntil_ ? std::max<double>(Load, State.Slots_)
+                                       : Load;
 }
 
-double TargetPool::othersWithoutReport(TargetIndex Target, double &Weight,
-                                       base::TimePoint Now) const noexcept {
+double TargetPool::estimateFromPeers(TargetIndex Target, double &Weight,
+                                     base::TimePoint Now) const noexcept {
   const double Targets =
       static_cast<double>(std::max<std::size_t>(1, Active_.size()));
-  // A silent peer is taken to do as the mean of the hosts that are heard, this
-  // one among them.
-  const double Heard = Peers_.heardPeers();
-  const double MeanHost = (Peers_.total() + OwnTotal_) / (Heard + 1);
+  // A silent peer is assumed to carry the mean load of the reporting hosts,
+  // this one included.
+  const double Reporting = Peers_.reportingPeers();
+  const double MeanHost =
+      (Peers_.total() + OwnInFlightTotal_) / (Reporting + 1);
   const double Silent = Peers_.silentPeers() * MeanHost / Targets;
   const double Prior = Peers_.total() / Targets;
-  // The pool's mean counts a little beside what is known of this target, and
-  // alone when that has become old.
+  // The pool's mean has a small weight beside what is known of this target, and
+  // decides alone once that is old.
   static constexpr double PriorWeight = 0.1;
-  double HeardWeight = 0;
-  if (Heard > 0) {
+  double ReportingWeight = 0;
+  if (Reporting > 0) {
     const double Age =
-        base::toSeconds(Peers_.age(Now)) /
+        base::toSeconds(Peers_.meanAge(Now)) /
         base::toSeconds(MedianLatency_ + std::chrono::milliseconds(10));
-    HeardWeight = 1 / (1 + Age);
+    ReportingWeight = 1 / (1 + Age);
   }
-  Weight = PriorWeight + HeardWeight;
+  Weight = PriorWeight + ReportingWeight;
   return Silent +
-         (Prior * PriorWeight + Peers_.at(Target) * HeardWeight) / Weight;
+         (Prior * PriorWeight + Peers_.inFlightAt(Target) * ReportingWeight) /
+             Weight;
 }
 
 } // namespace lychee::placement
--- a/libs/steering/RegionPool.cpp
+++ b/libs/steering/RegionPool.cpp
@@ -80,10 +80,11 @@
   if (!Slots_.divides())
     return;
   for (const placement::TargetIndex Target : Targets_.active()) {
-    const base::TargetId &Name = Targets_.nameOf(Target);
+    const base::TargetId &Name = Targets_.idOf(Target);
     const std::int64_t Kept = Kept_.contains(Name) ? 1 : 0;
-    Targets_.setShare(Target, static_cast<std::uint32_t>(std::max<std::int64_t>(
-                                  0, Slots_.held(Name) - Kept)));
+    Targets_.setSlotShare(
+        Target, static_cast<std::uint32_t>(
+                    std::max<std::int64_t>(0, Slots_.held(Name) - Kept)));
   }
 }
 
@@ -97,7 +98,7 @@
 bool RegionPool::fits() const {
   return std::ranges::all_of(
       Targets_.active(), [this](placement::TargetIndex Target) {
-        const base::TargetId &Name = Targets_.nameOf(Target);
+        const base::TargetId &Name = Targets_.idOf(Target);
         const std::int64_t InUse = Targets_.inFlight(Target);
         return InUse <= std::max<std::int64_t>(0, Slots_.held(Name)) &&
                InUse <= Slots_.heldOnceSettled(Name);
@@ -107,7 +108,7 @@
 std::uint32_t RegionPool::spare(base::TimePoint Now) const {
   std::uint32_t Sum = 0;
   for (const placement::TargetIndex Target : Targets_.active())
-    Sum += Targets_.freeShare(Target, Now);
+    Sum += Targets_.freeSlots(Target, Now);
   return Sum;
 }
 
@@ -136,7 +137,8 @@
     return true;
   // Where nothing is free, hosts of other regions give back, and those of this
   // one who have most share with those who have least.
-  return IsNear_ && Each.Used_ > (Near ? 2 * Targets_.ownTotal() + 1 : 0);
+  return IsNear_ &&
+         Each.Used_ > (Near ? 2 * Targets_.ownInFlightTotal() + 1 : 0);
 }
 
 bool RegionPool::isBetterDonor(const Peer &Each,
@@ -182,7 +184,7 @@
     Ask.Donor_ = Donor;
     Ask.Region_ = Region_;
     Ask.Slots_ = Slots;
-    Ask.RequesterInUse_ = Targets_.ownTotal();
+    Ask.RequesterInUse_ = Targets_.ownInFlightTotal();
     Asks.push_back(Ask);
   }
 }
@@ -196,7 +198,7 @@
   const auto Donor = std::next(
       Peers_.begin(), static_cast<std::ptrdiff_t>(Recalls_ % Peers_.size()));
   for (const placement::TargetIndex Target : Targets_.active()) {
-    const base::TargetId &Name = Targets_.nameOf(Target);
+    const base::TargetId &Name = Targets_.idOf(Target);
     if (Slots_.heldOnceSettled(Name) >= 0)
       continue;
     RecalledAt_ = Now;
@@ -223,7 +225,7 @@
     return std::min(Asked.Slots_, (Free + 1) / 2);
   std::int64_t Held = 0;
   for (const placement::TargetIndex Target : Targets_.active())
-    Held += std::max<std::int64_t>(0, Slots_.held(Targets_.nameOf(Target)));
+    Held += std::max<std::int64_t>(0, Slots_.held(Targets_.idOf(Target)));
   const auto Kept = static_cast<std::uint32_t>(
       std::lround(KeptFromAfar * static_cast<double>(Held)));
   return Free > Kept ? std::min(Asked.Slots_, Free - Kept) : 0;
@@ -234,8 +236,8 @@
   // while its own line stands would leave the region's callers waiting for
   // room that other regions' callers use.
   const bool AskerNear = Asked.RequesterRegion_ == Region_;
-  return AskerNear &&
-         (!IsNear_ || 2 * Asked.RequesterInUse_ + 1 < Targets_.ownTotal());
+  return AskerNear && (!IsNear_ || 2 * Asked.RequesterInUse_ + 1 <
+                                       Targets_.ownInFlightTotal());
 }
 
 std::vector<SlotCount> RegionPool::give(const SlotRequest &Asked,
@@ -248,10 +250,10 @@
     return giveKept(Asked, Now);
   std::uint32_t Left = mayGive(Asked, Now);
   for (const placement::TargetIndex Target : Targets_.active()) {
-    const std::uint32_t Given = std::min(Left, Targets_.freeShare(Target, Now));
+    const std::uint32_t Given = std::min(Left, Targets_.freeSlots(Target, Now));
     if (Given > 0)
       Told.push_back(
-          Slots_.give(Asked.Requester_, Targets_.nameOf(Target), Given));
+          Slots_.give(Asked.Requester_, Targets_.idOf(Target), Given));
     Left -= Given;
   }
   refreshShares();
@@ -266,7 +268,7 @@
   placement::TargetIndex Busiest = 0;
   std::int64_t MostHeld = 0;
   for (const placement::TargetIndex Target : Targets_.active()) {
-    const base::TargetId &Name = Targets_.nameOf(Target);
+    const base::TargetId &Name = Targets_.idOf(Target);
     if (!Asked.RecallTarget_.empty() && Name != Asked.RecallTarget_)
       continue;
     // What comes back from a lost host can pay a debt before it may be used.
@@ -286,7 +288,7 @@
   }
   // None is free: the next one that ends is kept for the asker.
   if (MostHeld > 0)
-    Kept_[Targets_.nameOf(Busiest)] = Now + KeepTime;
+    Kept_[Targets_.idOf(Busiest)] = Now + KeepTime;
   refreshShares();
   return {};
 }
--- a/libs/steering/RegionPool.h
+++ b/libs/steering/RegionPool.h
@@ -70,7 +70,7 @@
   bool accept(const base::HostId &Donor, std::span<const SlotCount> Told);
 
   const std::string &address(placement::TargetIndex Target) const {
-    return Addresses_.at(Targets_.nameOf(Target));
+    return Addresses_.at(Targets_.idOf(Target));
   }
 
   /// \returns the budget of second sends to a target.
--- a/libs/steering/ServicePeers.cpp
+++ b/libs/steering/ServicePeers.cpp
@@ -18,12 +18,12 @@
   for (const auto &[Id, Pool] : Pools_) {
     if (Pool->divides()) {
       Round.SpareSlots_.push_back(
-          {Service_, Id, Pool->spare(Now), Pool->targets().ownTotal()});
+          {Service_, Id, Pool->spare(Now), Pool->targets().ownInFlightTotal()});
       continue;
     }
     for (const placement::InFlight &Own : Pool->targets().ownInFlight())
       Round.Loads_.push_back(
-          {Service_, Pool->targets().nameOf(Own.Target_), Own.Count_});
+          {Service_, Pool->targets().idOf(Own.Target_), Own.Count_});
   }
 }
 
--- a/libs/steering/ServicePlacement.cpp
+++ b/libs/steering/ServicePlacement.cpp
@@ -40,7 +40,7 @@
     if (!Pool)
       continue;
     const placement::PoolState State = Pool->targets().state(Now);
-    if (State.Trust_ != Trust::Lost && State.Usable_ > 0)
+    if (State.Trust_ != Trust::Lost && State.UsableTargets_ > 0)
       return Pool;
     if (!Lost && State.Trust_ == Trust::Lost)
       Lost = Pool;
@@ -69,25 +69,25 @@
                            std::string_view &Why) {
   std::vector<Found> Places{{&Home, {}}};
   std::vector<placement::RegionOption> Options(1);
-  Options.front().Usable_ = Home.targets().state(Now).Usable_;
-  Options.front().Wait_ = Wait;
+  Options.front().UsableTargets_ = Home.targets().state(Now).UsableTargets_;
+  Options.front().ExpectedWait_ = Wait;
   for (const base::RegionId &Region : Wanted.Request_.PreferredRegions_) {
     RegionPool *Pool = poolOf(Region);
     if (!Pool || Pool == &Home)
       continue;
     Found Place{Pool, {}};
     placement::RegionOption Option;
-    Option.Usable_ = Pool->targets().state(Now).Usable_;
+    Option.UsableTargets_ = Pool->targets().state(Now).UsableTargets_;
     Option.RoundTrip_ = roundTrip(Home.region(), Region);
     // Where slots are divided, those that this host holds there are its part
     // of the region's headroom.
-    Option.Headroom_ = Pool->divides() || hasHeadroom(*Pool, Now);
-    if (Option.Headroom_ && Pool->line().queued() == 0)
+    Option.HasHeadroom_ = Pool->divides() || hasHeadroom(*Pool, Now);
+    if (Option.HasHeadroom_ && Pool->line().queued() == 0)
       Place.Choice_ = choose(*Pool, Wanted, Now);
-    Option.Room_ = Place.Choice_.Target_.has_value();
+    Option.HasFreeSlot_ = Place.Choice_.Target_.has_value();
     const bool WorthIt =
         Wait > placement::RegionChooser::WaitFactor * Option.RoundTrip_;
-    if (!Option.Room_ && Pool->divides() && WorthIt)
+    if (!Option.HasFreeSlot_ && Pool->divides() && WorthIt)
       Pool->want(1);
     Places.push_back(Place);
     Options.push_back(Option);
--- a/libs/steering/ServiceSteering.cpp
+++ b/libs/steering/ServiceSteering.cpp
@@ -24,7 +24,7 @@
   case admission::RefusalReason::None:
     return Refusal::None;
   case admission::RefusalReason::RateLimited:
-    return Refusal::OverRate;
+    return Refusal::RateLimited;
   case admission::RefusalReason::DeadlineTooShort:
     return Refusal::DeadlineTooShort;
   case admission::RefusalReason::WaitTooLong:
@@ -32,7 +32,7 @@
   case admission::RefusalReason::Saturated:
     return Refusal::QueueFull;
   case admission::RefusalReason::DeadlineExceeded:
-    return Refusal::DeadlinePassed;
+    return Refusal::DeadlineExceeded;
   }
   return Refusal::QueueFull;
 }
@@ -91,7 +91,7 @@
   const auto Known = Intent.Services_.find(Service_);
   for (const auto &[Id, Region] : Intent.Regions_) {
     std::vector<settings::Target> Here;
-    admission::AdmissionControl::Limits Limits = Context_.Limits_.Line_;
+    admission::AdmissionControl::Limits Limits = Context_.Limits_.Admission_;
     if (Known != Intent.Services_.end()) {
       Limits.ExpectedWork_ = Known->second.ExpectedWork_;
       Limits.SaturatedMaxWait_ =
@@ -238,12 +238,13 @@
   Decision Taken;
   Taken.Action_ = Decision::Action::Send;
   Taken.Ticket_ = Ticket;
-  Taken.Target_ = Targets.nameOf(Target);
+  Taken.Target_ = Targets.idOf(Target);
   Taken.Address_ = Where.Pool_->address(Target);
   Taken.Region_ = Where.Pool_->region();
   Taken.Reason_ = Why == "nearest" ? Where.Choice_.Reason_ : Why;
-  for (const placement::PassedOver &Other : Where.Choice_.passed())
-    Taken.PassedOver_.push_back({Targets.nameOf(Other.Target_), Other.Reason_});
+  for (const placement::PassedOver &Other : Where.Choice_.passedOver())
+    Taken.PassedOverTargets_.push_back(
+        {Targets.idOf(Other.Target_), Other.Reason_});
   Taken.SettingsVersion_ = Version_;
   return Taken;
 }
@@ -308,7 +309,7 @@
                                Ended.Charged_, Report.Took_,
                                Seen == placement::Outcome::Success, Now);
   const std::uint64_t Fingerprint = Ended.Request_.Fingerprint_;
-  if (Report.End_ == SendOutcome::Answered) {
+  if (Report.Outcome_ == SendOutcome::Answered) {
     shifting::ColdCost &Cold = ColdCosts_[Pool.region()];
     if (Ended.Shifted_)
       Cold.movedTook(Report.Took_, Now);
@@ -318,12 +319,12 @@
     Pool.retries(Target).recordSuccess();
     Context_.Suspects_->recordResponse(Fingerprint);
   }
-  const bool Reset = Report.End_ == SendOutcome::LostBeforeResponse ||
-                     Report.End_ == SendOutcome::LostAfterPartialWrite ||
-                     Report.End_ == SendOutcome::ResponseTruncated;
+  const bool Reset = Report.Outcome_ == SendOutcome::LostBeforeResponse ||
+                     Report.Outcome_ == SendOutcome::LostAfterPartialWrite ||
+                     Report.Outcome_ == SendOutcome::ResponseTruncated;
   if (Reset && !Report.TimedOut_)
     Context_.Suspects_->recordTargetLoss(Fingerprint,
-                                         Pool.targets().nameOf(Target), Now);
+                                         Pool.targets().idOf(Target), Now);
 }
 
 Decision ServiceSteering::afterFailure(std::uint64_t Ticket, Pending &Failed,
--- a/tests/placement/HomeSlotsTest.cpp
+++ b/tests/placement/HomeSlotsTest.cpp
@@ -18,13 +18,13 @@
 std::vector<HostWeight> hosts(int Count) {
   std::vector<HostWeight> All;
   All.reserve(static_cast<std::size_t>(Count));
-  for (int Each = 0; Each < Count; ++Each)
-    All.push_back({HostId("host-" + std::to_string(Each)), 1});
+  for (int Index = 0; Index < Count; ++Index)
+    All.push_back({HostId("host-" + std::to_string(Index)), 1});
   return All;
 }
 
-std::uint32_t homesOf(std::size_t Self, std::vector<HostWeight> All,
-                      int Target) {
+std::uint32_t homeSlotsOf(std::size_t Self, std::vector<HostWeight> All,
+                          int Target) {
   const HostWeight Own = All[Self];
   All.erase(All.begin() + static_cast<std::ptrdiff_t>(Self));
   return homeSlots(TargetId("target-" + std::to_string(Target)), Slots, Own,
@@ -35,35 +35,35 @@
 
 TEST_GROUP(HomeSlots){};
 
-// Two hosts that both took a slot for theirs would meet there; a slot that no
-// one has would be idle. Each must be the home of exactly one host.
-TEST(HomeSlots, theHostsHomesAddUpToAllSlots) {
+// Each slot must be the home slot of exactly one host: two hosts that both
+// claim a slot collide there, and a slot that no host claims stays idle.
+TEST(HomeSlots, homeSlotsOfAllHostsAddUpToAllSlots) {
   const std::vector<HostWeight> All = hosts(10);
   for (int Target = 0; Target < Targets; ++Target) {
     std::uint32_t Sum = 0;
     for (std::size_t Host = 0; Host < All.size(); ++Host)
-      Sum += homesOf(Host, All, Target);
+      Sum += homeSlotsOf(Host, All, Target);
     LONGS_EQUAL(Slots, Sum);
   }
 }
 
-TEST(HomeSlots, aHostHasAsManyAsItsWeightDemands) {
+TEST(HomeSlots, homeSlotsAreProportionalToTheHostsWeight) {
   std::vector<HostWeight> All = hosts(10);
   All[3].Weight_ = 3;
   std::uint32_t Heavy = 0;
   for (int Target = 0; Target < Targets; ++Target)
-    Heavy += homesOf(3, All, Target);
+    Heavy += homeSlotsOf(3, All, Target);
   DOUBLES_EQUAL(3.0 / 12, Heavy / double(Targets * Slots), 0.05);
 }
 
-TEST(HomeSlots, aLostHostMovesOnlyItsOwnSlots) {
+TEST(HomeSlots, losingAHostMovesOnlyItsSlots) {
   const std::vector<HostWeight> All = hosts(10);
   const std::vector<HostWeight> Fewer(All.begin(), All.end() - 1);
   for (int Target = 0; Target < Targets; ++Target)
     for (std::size_t Host = 0; Host < Fewer.size(); ++Host)
-      CHECK(homesOf(Host, Fewer, Target) >= homesOf(Host, All, Target));
+      CHECK(homeSlotsOf(Host, Fewer, Target) >= homeSlotsOf(Host, All, Target));
 }
 
-TEST(HomeSlots, aLoneHostHasAll) {
-  LONGS_EQUAL(Slots, homesOf(0, hosts(1), 1));
+TEST(HomeSlots, aSingleHostHasAllSlots) {
+  LONGS_EQUAL(Slots, homeSlotsOf(0, hosts(1), 1));
 }
--- a/tests/placement/RegionChooserTest.cpp
+++ b/tests/placement/RegionChooserTest.cpp
@@ -14,10 +14,10 @@
   std::vector<RegionOption> Options_{3};
 
   void setup() override {
-    for (RegionOption &Each : Options_) {
-      Each.Usable_ = 10;
-      Each.Room_ = true;
-      Each.RoundTrip_ = 40ms;
+    for (RegionOption &Option : Options_) {
+      Option.UsableTargets_ = 10;
+      Option.HasFreeSlot_ = true;
+      Option.RoundTrip_ = 40ms;
     }
     Options_[0].RoundTrip_ = 0ms;
   }
@@ -29,48 +29,50 @@
   }
 
   void fillNearest(lychee::base::Duration Wait) {
-    Options_[0].Room_ = false;
-    Options_[0].Wait_ = Wait;
+    Options_[0].HasFreeSlot_ = false;
+    Options_[0].ExpectedWait_ = Wait;
   }
 };
 
-TEST(RegionChooser, theNearestWithRoomTakesIt) { expect(0, "nearest"); }
+TEST(RegionChooser, theNearestRegionWithAFreeSlotIsChosen) {
+  expect(0, "nearest");
+}
 
-TEST(RegionChooser, aShortWaitAtHomeBeatsALongWay) {
+TEST(RegionChooser, aShortWaitAtHomeBeatsALongRoundTrip) {
   fillNearest(60ms);
   expect(0, "nearest-wait");
 }
 
-TEST(RegionChooser, aLongWaitIsSteeredAway) {
+TEST(RegionChooser, aLongWaitIsSteeredToAnotherRegion) {
   fillNearest(200ms);
   expect(1, "spill-full");
 }
 
-// The nearest region is full, and the next has no headroom left for steered
-// work although it has free slots. Sent there, this region's overload would
-// become that one's. The third takes it.
-TEST(RegionChooser, aRegionWithoutHeadroomIsPassedOver) {
+// The nearest region is full, and the next has free slots but no headroom left
+// for steered requests. Sending there would move the overload into that region.
+// The third region takes the request.
+TEST(RegionChooser, aRegionWithoutHeadroomIsSkipped) {
   fillNearest(200ms);
-  Options_[1].Headroom_ = false;
+  Options_[1].HasHeadroom_ = false;
   expect(2, "spill-full");
 }
 
-TEST(RegionChooser, fullEverywhereWaitsAtHome) {
+TEST(RegionChooser, whereAllRegionsAreFullTheRequestWaitsAtHome) {
   fillNearest(200ms);
-  Options_[1].Headroom_ = false;
-  Options_[2].Link_ = false;
+  Options_[1].HasHeadroom_ = false;
+  Options_[2].LinkHasCapacity_ = false;
   expect(0, "nearest-wait");
 }
 
-// The nearest region is lost and the others are full. Nothing is sent anywhere:
-// the caller is refused, and no region is overloaded for another's loss.
-TEST(RegionChooser, aLostRegionsWorkIsRefusedWhereNoHeadroomIsLeft) {
-  Options_[0].Usable_ = 0;
+// The nearest region is lost and the others are full. The request is refused,
+// so that the loss of one region does not overload another.
+TEST(RegionChooser, requestsOfALostRegionAreRefusedWithoutHeadroomElsewhere) {
+  Options_[0].UsableTargets_ = 0;
   expect(1, "spill-lost");
-  Options_[1].Headroom_ = false;
-  Options_[2].Room_ = false;
+  Options_[1].HasHeadroom_ = false;
+  Options_[2].HasFreeSlot_ = false;
   expect(std::nullopt, "no-headroom");
-  Options_[1].Usable_ = 0;
-  Options_[2].Usable_ = 0;
+  Options_[1].UsableTargets_ = 0;
+  Options_[2].UsableTargets_ = 0;
   expect(std::nullopt, "no-healthy-target");
 }
--- a/tests/placement/TargetPoolTest.cpp
+++ b/tests/placement/TargetPoolTest.cpp
@@ -26,8 +26,8 @@
 std::vector<TargetSpec> targets(int Count, std::uint32_t Slots = 3) {
   std::vector<TargetSpec> All;
   All.reserve(static_cast<std::size_t>(Count));
-  for (int Each = 0; Each < Count; ++Each)
-    All.push_back({TargetId("target-" + std::to_string(Each)), Slots, false});
+  for (int Index = 0; Index < Count; ++Index)
+    All.push_back({TargetId("target-" + std::to_string(Index)), Slots, false});
   return All;
 }
 
@@ -40,25 +40,25 @@
 
   TargetChoice choose() { return Pool_.choose({}, Now_, Numbers_); }
 
-  /// Sends \p Count requests that each end at once.
-  void send(TargetIndex Target, Outcome Seen, int Count = 1,
-            Duration Took = 20ms) {
-    for (int Each = 0; Each < Count; ++Each) {
+  /// Sends \p Count requests, each of which ends at once.
+  void send(TargetIndex Target, Outcome Result, int Count = 1,
+            Duration Latency = 20ms) {
+    for (int Index = 0; Index < Count; ++Index) {
       Pool_.recordStart(Target);
-      Pool_.recordFinish(Target, Seen, Took, Now_);
+      Pool_.recordFinish(Target, Result, Latency, Now_);
     }
   }
 
   std::set<TargetIndex> chosenIn(int Draws) {
     std::set<TargetIndex> Chosen;
-    for (int Each = 0; Each < Draws; ++Each)
+    for (int Index = 0; Index < Draws; ++Index)
       if (const auto Target = choose().Target_)
         Chosen.insert(*Target);
     return Chosen;
   }
 };
 
-TEST(TargetPool, withoutTargetsItSaysSo) {
+TEST(TargetPool, anEmptyPoolReportsNoTarget) {
   const TargetChoice Choice = choose();
   CHECK_FALSE(Choice.Target_.has_value());
   STRCMP_EQUAL("no-target", std::string(Choice.Reason_).c_str());
@@ -66,7 +66,7 @@
 
 TEST(TargetPool, noTargetGetsMoreThanItsSlots) {
   Pool_.setTargets(targets(5), Now_);
-  for (int Each = 0; Each < 15; ++Each) {
+  for (int Index = 0; Index < 15; ++Index) {
     const TargetChoice Choice = choose();
     CHECK(Choice.Target_.has_value());
     Pool_.recordStart(Choice.Target_.value_or(0));
@@ -76,7 +76,7 @@
     DOUBLES_EQUAL(3, Pool_.load(Target, Now_), 0.01);
 }
 
-TEST(TargetPool, aLeavingTargetGetsNoNewWorkAndItsRunningWorkEnds) {
+TEST(TargetPool, aLeavingTargetGetsNoNewRequestsAndFinishesItsRunningOnes) {
   auto Declared = targets(3);
   Pool_.setTargets(Declared, Now_);
   Pool_.recordStart(0);
@@ -87,28 +87,29 @@
   DOUBLES_EQUAL(0, Pool_.load(0, Now_), 0.01);
 }
 
-TEST(TargetPool, aRetryNeverGoesToTheTargetJustTried) {
+TEST(TargetPool, aRetryNeverGoesToTheExcludedTarget) {
   Pool_.setTargets(targets(2), Now_);
   const TargetIndex Tried = 1;
-  for (int Each = 0; Each < 100; ++Each)
+  for (int Index = 0; Index < 100; ++Index)
     LONGS_EQUAL(
         0, Pool_.choose({&Tried, 1}, Now_, Numbers_).Target_.value_or(Tried));
 }
 
-// A target is gone: each connection to it fails. Sent to again and again it
-// would fail a part of all requests. After three it gets none for a while, then
-// one slot's worth, and is out again at the first failure, for twice as long.
-TEST(TargetPool, anUnreachableTargetIsEjectedAndComesBackByOneSlot) {
+// Every connection to a target fails. Without ejection a part of all requests
+// would fail there. After three failures it gets no requests for a while, then
+// one slot's worth, and is ejected again at the first failure, for twice as
+// long.
+TEST(TargetPool, anUnreachableTargetIsEjectedAndReturnsWithOneSlot) {
   Pool_.setTargets(targets(6), Now_);
   send(2, Outcome::Unreachable, 3);
   CHECK(Pool_.isEjected(2, Now_));
   CHECK_FALSE(chosenIn(200).contains(2));
-  Now_ += TargetHealth::FirstEjection;
+  Now_ += TargetHealth::BaseEjectionTime;
   CHECK(chosenIn(200).contains(2));
   Pool_.recordStart(2);
   CHECK_FALSE(chosenIn(200).contains(2));
   Pool_.recordFinish(2, Outcome::Unreachable, 1ms, Now_);
-  Now_ += TargetHealth::FirstEjection;
+  Now_ += TargetHealth::BaseEjectionTime;
   CHECK(Pool_.isEjected(2, Now_));
 }
 
@@ -121,11 +122,11 @@
   CHECK(Pool_.isEjected(4, Now_));
 }
 
-// All targets begin to answer slowly at once, as when their database is slow.
-// Ejecting them one after another would put the whole load on the last ones.
-// At most three in ten are ejected; then the measurement is doubted, work is
-// spread over all, and the decision says so.
-TEST(TargetPool, whenMostLookBadTheMeasurementIsDoubted) {
+// All targets fail at once, as when their shared database fails. Ejecting one
+// after another would put the whole load on the last ones. At most three in ten
+// are ejected; then the measurement is doubted, requests are spread over all
+// targets, and the pool's state says so.
+TEST(TargetPool, whenTooManyTargetsLookBadTheMeasurementIsDoubted) {
   Pool_.setTargets(targets(10), Now_);
   for (TargetIndex Target = 0; Target < 10; ++Target)
     send(Target, Outcome::Faulty, 30);
@@ -137,11 +138,11 @@
   CHECK(PoolState::Trust::Suspect == Pool_.state(Now_).Trust_);
 }
 
-// An availability zone is lost, and with it half of a region's targets. That is
-// more than are ejected for slowness, but connections that fail are no doubtful
-// sign: the half that answers gets all the work, and no caller waits for a
-// connection that cannot come.
-TEST(TargetPool, aLostZoneIsEjectedAsAWhole) {
+// Losing an availability zone takes half of a region's targets, more than may
+// be ejected for slow or faulty responses. Failed connections are not
+// ambiguous: the remaining half gets all requests, and no caller waits for a
+// connection that fails.
+TEST(TargetPool, allTargetsOfALostZoneAreEjected) {
   Pool_.setTargets(targets(10), Now_);
   for (TargetIndex Target = 0; Target < 5; ++Target) {
     send(Target, Outcome::Unreachable, 3);
@@ -149,13 +150,13 @@
   }
   for (const TargetIndex Target : chosenIn(500))
     CHECK(Target >= 5);
-  LONGS_EQUAL(5, Pool_.state(Now_).Usable_);
+  LONGS_EQUAL(5, Pool_.state(Now_).UsableTargets_);
 }
 
-// A whole region is lost. No target answers, so none is better than another,
-// and every send would only wait for a connection. The pool says that it is
-// lost, lets one probe through each half second, and is back with one answer.
-TEST(TargetPool, aLostRegionGetsProbesOnly) {
+// No target of a region answers, so every send would only wait for a
+// connection. The pool reports that it is lost, lets one probe through every
+// half second, and recovers with one answer.
+TEST(TargetPool, aLostRegionGetsOnlyProbes) {
   Pool_.setTargets(targets(10), Now_);
   for (TargetIndex Target = 0; Target < 10; ++Target)
     send(Target, Outcome::Unreachable, 3);
@@ -170,10 +171,10 @@
   CHECK(PoolState::Trust::Lost != Pool_.state(Now_).Trust_);
 }
 
-// A target sheds although its report says that it is idle. Believed, the report
-// would draw all hosts to it. What this host saw goes first: the target counts
-// as full for about the time of one request.
-TEST(TargetPool, aShedOutranksAReportOfAnIdleTarget) {
+// A target sheds while its report says that it is idle. A pool that believed
+// the report would draw all hosts to it. The shed takes precedence: the target
+// is assumed to be full for about the duration of one request.
+TEST(TargetPool, aShedTakesPrecedenceOverAReportOfAnIdleTarget) {
   Pool_.setTargets(targets(4), Now_);
   send(1, Outcome::Shed);
   Pool_.recordReport(1, 0, Now_);
@@ -182,9 +183,10 @@
   CHECK(chosenIn(200).contains(1));
 }
 
-// One target's reports stop. As empty it would be flooded, as full it would
-// never be heard of again: its estimate decays to the mean of the pool.
-TEST(TargetPool, aMissingReportDecaysToThePoolsMean) {
+// The reports of one target stop. Assumed to be empty it would be flooded,
+// assumed to be full it would never be tried again: its estimate decays to the
+// mean of the pool.
+TEST(TargetPool, withoutReportsTheEstimateDecaysToThePoolsMean) {
   Pool_.setTargets(targets(4, 8), Now_);
   const std::vector<HostId> Peers = {HostId("a"), HostId("b")};
   Pool_.setPeers(Peers);
@@ -197,7 +199,7 @@
   DOUBLES_EQUAL(2, Pool_.load(0, Now_), 0.6);
 }
 
-TEST(TargetPool, aSilentPeerIsTakenToDoAsTheOthersDo) {
+TEST(TargetPool, aSilentPeerIsAssumedToCarryTheMeanLoad) {
   Pool_.setTargets(targets(4, 8), Now_);
   const std::vector<HostId> Peers = {HostId("a"), HostId("b")};
   Pool_.setPeers(Peers);
@@ -205,7 +207,7 @@
     Pool_.recordPeerLoads(
         Peer, std::vector<InFlight>{{0, 2}, {1, 2}, {2, 2}, {3, 2}}, Now_);
   for (TargetIndex Target = 0; Target < 4; ++Target)
-    for (int Each = 0; Each < 2; ++Each)
+    for (int Index = 0; Index < 2; ++Index)
       Pool_.recordStart(Target);
   Now_ += 2s;
   Pool_.recordPeerLoads(
@@ -215,11 +217,11 @@
     DOUBLES_EQUAL(6, Pool_.load(Target, Now_), 0.2);
 }
 
-// A target appears cold, and ten hosts have a slot of it between them. Were
-// each to let its own slot be used at once, because one is the least, the
-// target would be full in its first second. Over all hosts its slots open one
-// by one.
-TEST(TargetPool, aSlowStartHoldsForTheSumOfAllHosts) {
+// A new target has cold caches, and each of many hosts has one slot of it. If
+// each host could use its slot at once, because one slot is the minimum, the
+// target would be full in its first second. Its slots open gradually over all
+// hosts.
+TEST(TargetPool, aSlowStartLimitsTheSumOverAllHosts) {
   constexpr std::uint32_t Hosts = 40;
   std::uint32_t OpenAtFirst = 0;
   std::uint32_t OpenLater = 0;
@@ -227,10 +229,10 @@
     TargetPool Fresh(HostId("host-" + std::to_string(Host)));
     Fresh.setTargets(targets(1), Now_);
     Fresh.setTargets(targets(2), Now_);
-    Fresh.setShare(0, 1);
-    Fresh.setShare(1, 1);
-    OpenAtFirst += Fresh.freeShare(1, Now_);
-    OpenLater += Fresh.freeShare(1, Now_ + TargetHealth::SlowStart);
+    Fresh.setSlotShare(0, 1);
+    Fresh.setSlotShare(1, 1);
+    OpenAtFirst += Fresh.freeSlots(1, Now_);
+    OpenLater += Fresh.freeSlots(1, Now_ + TargetHealth::SlowStartWindow);
   }
   CHECK(OpenAtFirst > 0);
   CHECK(OpenAtFirst <= Hosts / 2);
