--- a/libs/steering/ServiceSteering.cpp
+++ b/libs/steering/ServiceSteering.cpp
@@ -238,13 +238,13 @@
   Decision Taken;
   Taken.Action_ = Decision::Action::Send;
   Taken.Ticket_ = Ticket;
-  Taken.Target_ = Targets.nameOf(Target);
+  Taken.Target_ = Targets.idOf(Target);
   Taken.Address_ = Where.Pool_->address(Target);
   Taken.Region_ = Where.Pool_->region();
   Taken.Reason_ = Why == "nearest" ? Where.Choice_.Reason_ : Why;
-  for (const placement::PassedOver &Other : Where.Choice_.passed())
+  for (const placement::PassedOver &Other : Where.Choice_.passedOver())
     Taken.PassedOverTargets_.push_back(
-        {Targets.nameOf(Other.Target_), Other.Reason_});
+        {Targets.idOf(Other.Target_), Other.Reason_});
   Taken.SettingsVersion_ = Version_;
   return Taken;
 }
@@ -324,7 +324,7 @@
                      Report.Outcome_ == SendOutcome::ResponseTruncated;
   if (Reset && !Report.TimedOut_)
     Context_.Suspects_->recordTargetLoss(Fingerprint,
-                                         Pool.targets().nameOf(Target), Now);
+                                         Pool.targets().idOf(Target), Now);
 }
 
 Decision ServiceSteering::afterFailure(std::uint64_t Ticket, Pending &Failed,
