--- a/libs/claims/ClaimCodec.cpp
+++ b/libs/claims/ClaimCodec.cpp
@@ -19,9 +19,10 @@
 
 constexpr std::size_t HexDigits = 16;
 
-/// Places of a record's fields: an array in place of an object keeps it at
-/// about 80 bytes, and 8,000 of them below the store's 1 MB a value.
-enum Place : Json::ArrayIndex {
+/// Indexes of a record's fields. Encoding a record as an array instead of an
+/// object keeps it at about 80 bytes, and 8,000 records below the store's limit
+/// of 1 MB per value.
+enum Field : Json::ArrayIndex {
   Key,
   Fingerprint,
   Grant,
@@ -41,76 +42,77 @@
   return Json::Value(static_cast<Json::UInt64>(Value));
 }
 
-std::optional<ClaimRecord> toRecord(const Json::Value &From) {
-  if (!From.isArray() || From.size() != Place::Count)
+std::optional<ClaimRecord> toRecord(const Json::Value &Source) {
+  if (!Source.isArray() || Source.size() != Field::Count)
     return std::nullopt;
   for (Json::ArrayIndex Index = Fingerprint; Index < Count; ++Index)
-    if (!From[Index].isUInt64())
+    if (!Source[Index].isUInt64())
       return std::nullopt;
-  if (!From[Key].isString() || From[State].asUInt64() > 1 ||
-      From[Status].asUInt64() > 999)
+  if (!Source[Key].isString() || Source[State].asUInt64() > 1 ||
+      Source[Status].asUInt64() > 999)
     return std::nullopt;
-  const auto Found = ClaimCodec::toKey(From[Key].asString());
+  const auto Found = ClaimCodec::toKey(Source[Key].asString());
   if (!Found)
     return std::nullopt;
-  ClaimRecord Made;
-  Made.Key_ = *Found;
-  Made.Fingerprint_ = From[Fingerprint].asUInt64();
-  Made.Grant_ = From[Grant].asUInt64();
-  Made.State_ = static_cast<ClaimState>(From[State].asUInt64());
-  Made.Status_ = static_cast<std::uint16_t>(From[Status].asUInt64());
-  Made.At_ = base::WallPoint(std::chrono::milliseconds(From[At].asUInt64()));
-  return Made;
+  ClaimRecord Record;
+  Record.Key_ = *Found;
+  Record.Fingerprint_ = Source[Fingerprint].asUInt64();
+  Record.Grant_ = Source[Grant].asUInt64();
+  Record.State_ = static_cast<ClaimState>(Source[State].asUInt64());
+  Record.Status_ = static_cast<std::uint16_t>(Source[Status].asUInt64());
+  Record.At_ =
+      base::WallPoint(std::chrono::milliseconds(Source[At].asUInt64()));
+  return Record;
 }
 
-Json::Value toJson(const ClaimRecord &From) {
-  Json::Value Made(Json::arrayValue);
-  Made.append(ClaimCodec::toText(From.Key_));
-  Made.append(numberOf(From.Fingerprint_));
-  Made.append(numberOf(From.Grant_));
-  Made.append(numberOf(static_cast<std::uint64_t>(From.State_)));
-  Made.append(numberOf(From.Status_));
-  Made.append(numberOf(static_cast<std::uint64_t>(
-      base::toMilliseconds(From.At_.time_since_epoch()))));
-  return Made;
+Json::Value toJson(const ClaimRecord &Record) {
+  Json::Value Encoded(Json::arrayValue);
+  Encoded.append(ClaimCodec::toText(Record.Key_));
+  Encoded.append(numberOf(Record.Fingerprint_));
+  Encoded.append(numberOf(Record.Grant_));
+  Encoded.append(numberOf(static_cast<std::uint64_t>(Record.State_)));
+  Encoded.append(numberOf(Record.Status_));
+  Encoded.append(numberOf(static_cast<std::uint64_t>(
+      base::toMilliseconds(Record.At_.time_since_epoch()))));
+  return Encoded;
 }
 
 } // namespace
 
-std::string ClaimCodec::toText(const ClaimKey &From) {
+std::string ClaimCodec::toText(const ClaimKey &Key) {
   char Text[2 * HexDigits + 1];
   std::snprintf(Text, sizeof(Text), "%016llx%016llx",
-                static_cast<unsigned long long>(From.High_),
-                static_cast<unsigned long long>(From.Low_));
+                static_cast<unsigned long long>(Key.High_),
+                static_cast<unsigned long long>(Key.Low_));
   return Text;
 }
 
 std::optional<ClaimKey> ClaimCodec::toKey(std::string_view Text) {
-  ClaimKey Made;
+  ClaimKey Key;
   if (Text.size() != 2 * HexDigits ||
-      !parseHex(Text.substr(0, HexDigits), Made.High_) ||
-      !parseHex(Text.substr(HexDigits), Made.Low_))
+      !parseHex(Text.substr(0, HexDigits), Key.High_) ||
+      !parseHex(Text.substr(HexDigits), Key.Low_))
     return std::nullopt;
-  return Made;
+  return Key;
 }
 
-std::string ClaimCodec::encode(const ClaimObject &From) {
+std::string ClaimCodec::encode(const ClaimObject &Object) {
   Json::Value Records(Json::arrayValue);
-  for (const ClaimRecord &Each : From.Records_)
+  for (const ClaimRecord &Each : Object.Records_)
     Records.append(claims::toJson(Each));
-  Json::Value Made(Json::objectValue);
-  Made["epoch"] = numberOf(From.Epoch_);
-  Made["writer"] = numberOf(From.Writer_);
-  Made["records"] = std::move(Records);
-  return Codec::write(Made);
+  Json::Value Encoded(Json::objectValue);
+  Encoded["epoch"] = numberOf(Object.Epoch_);
+  Encoded["writer"] = numberOf(Object.Writer_);
+  Encoded["records"] = std::move(Records);
+  return Codec::write(Encoded);
 }
 
 std::optional<ClaimObject> ClaimCodec::decodeObject(std::string_view Text,
                                                     std::uint64_t Version) {
-  ClaimObject Made;
-  Made.Version_ = Version;
+  ClaimObject Object;
+  Object.Version_ = Version;
   if (Version == 0)
-    return Made;
+    return Object;
   const auto Parsed = Codec::parse(Text);
   if (!Parsed)
     return std::nullopt;
@@ -118,42 +120,42 @@
   if (!(*Parsed)["epoch"].isUInt64() || !(*Parsed)["writer"].isUInt64() ||
       !Records.isArray())
     return std::nullopt;
-  Made.Epoch_ = (*Parsed)["epoch"].asUInt64();
-  Made.Writer_ = (*Parsed)["writer"].asUInt64();
+  Object.Epoch_ = (*Parsed)["epoch"].asUInt64();
+  Object.Writer_ = (*Parsed)["writer"].asUInt64();
   for (const Json::Value &Each : Records) {
     const auto Record = toRecord(Each);
     if (!Record)
       return std::nullopt;
-    Made.Records_.push_back(*Record);
+    Object.Records_.push_back(*Record);
   }
-  return Made;
+  return Object;
 }
 
-Json::Value ClaimCodec::toJson(const ClaimResult &From) {
-  Json::Value Made(Json::objectValue);
-  Made["answer"] = numberOf(static_cast<std::uint64_t>(From.Outcome_));
-  Made["key"] = toText(From.Key_);
-  Made["grant"] = numberOf(From.Grant_);
-  Made["status"] = From.Status_;
-  return Made;
+Json::Value ClaimCodec::toJson(const ClaimResult &Result) {
+  Json::Value Encoded(Json::objectValue);
+  Encoded["answer"] = numberOf(static_cast<std::uint64_t>(Result.Outcome_));
+  Encoded["key"] = toText(Result.Key_);
+  Encoded["grant"] = numberOf(Result.Grant_);
+  Encoded["status"] = Result.Status_;
+  return Encoded;
 }
 
-std::optional<ClaimResult> ClaimCodec::toVerdict(const Json::Value &From) {
-  if (!From.isObject() || !From["answer"].isUInt64() ||
-      !From["key"].isString() || !From["grant"].isUInt64() ||
-      !From["status"].isUInt())
+std::optional<ClaimResult> ClaimCodec::toResult(const Json::Value &Source) {
+  if (!Source.isObject() || !Source["answer"].isUInt64() ||
+      !Source["key"].isString() || !Source["grant"].isUInt64() ||
+      !Source["status"].isUInt())
     return std::nullopt;
-  const auto Found = toKey(From["key"].asString());
-  const std::uint64_t Answer = From["answer"].asUInt64();
+  const auto Found = toKey(Source["key"].asString());
+  const std::uint64_t Answer = Source["answer"].asUInt64();
   if (!Found ||
       Answer > static_cast<std::uint64_t>(ClaimOutcome::StoreUnavailable))
     return std::nullopt;
-  ClaimResult Made;
-  Made.Outcome_ = static_cast<ClaimOutcome>(Answer);
-  Made.Key_ = *Found;
-  Made.Grant_ = From["grant"].asUInt64();
-  Made.Status_ = static_cast<std::uint16_t>(From["status"].asUInt());
-  return Made;
+  ClaimResult Result;
+  Result.Outcome_ = static_cast<ClaimOutcome>(Answer);
+  Result.Key_ = *Found;
+  Result.Grant_ = Source["grant"].asUInt64();
+  Result.Status_ = static_cast<std::uint16_t>(Source["status"].asUInt());
+  return Result;
 }
 
 } // namespace lychee::claims
--- a/libs/claims/ClaimCodec.h
+++ b/libs/claims/ClaimCodec.h
@@ -10,21 +10,21 @@
 
 namespace lychee::claims {
 
-/// JSON of claims: of one partition's object in the store, and of what hosts
-/// tell each other. A text that is not whole gives nothing: half an object
-/// would let claims that it lacks run again.
+/// JSON encoding of claims: of a partition's object in the store, and of the
+/// messages between hosts. Decoding incomplete or malformed text fails, because
+/// a partial object would allow the claims missing in it to run again.
 class ClaimCodec {
 public:
   ClaimCodec() = delete;
 
-  /// The version is the store's and stands beside the value.
-  static std::string encode(const retrying::ClaimObject &From);
+  /// The object's version is not encoded: the store keeps it beside the value.
+  static std::string encode(const retrying::ClaimObject &Object);
   static std::optional<retrying::ClaimObject>
   decodeObject(std::string_view Text, std::uint64_t Version);
 
-  static Json::Value toJson(const retrying::ClaimResult &From);
+  static Json::Value toJson(const retrying::ClaimResult &Result);
   static std::optional<retrying::ClaimResult>
-  toVerdict(const Json::Value &From);
+  toResult(const Json::Value &Source);
 
   static std::string toText(const retrying::ClaimKey &Key);
   static std::optional<retrying::ClaimKey> toKey(std::string_view Text);
--- a/libs/claims/ClaimPartition.cpp
+++ b/libs/claims/ClaimPartition.cpp
@@ -19,11 +19,11 @@
 
 namespace {
 
-/// Between two tries to reach a store that does not answer.
-constexpr base::Duration StorePause = std::chrono::milliseconds(200);
+/// Delay between two attempts to reach a store that does not respond.
+constexpr base::Duration StoreRetryDelay = std::chrono::milliseconds(200);
 
-void logStep(std::string_view Event, std::string_view Path,
-             const base::Error &Last) {
+void logStoreFailure(std::string_view Event, std::string_view Path,
+                     const base::Error &Last) {
   reporting::logLine(reporting::LogLevel::Warning,
                      base::KeyValueLine()
                          .add("event", Event)
@@ -32,99 +32,99 @@
                          .add("reason", Last.Reason_));
 }
 
-void reportEnd(const std::exception_ptr &Thrown) {
+void logException(const std::exception_ptr &Thrown) {
   reporting::logThrown("claims-failed", Thrown);
 }
 
 } // namespace
 
-ClaimPartition::ClaimPartition(asio::any_io_executor Strand, store::Store &Kept,
-                               std::uint32_t Index, std::uint64_t Owner,
-                               Tell Told)
-    : Strand_(std::move(Strand)), Store_(Kept),
+ClaimPartition::ClaimPartition(asio::any_io_executor Strand,
+                               store::Store &Store, std::uint32_t Index,
+                               std::uint64_t Owner, ResultHandler OnResult)
+    : Strand_(std::move(Strand)), Store_(Store),
       Path_("claims/" + std::to_string(Index)), Table_(Owner),
-      Tell_(std::move(Told)) {}
+      OnResult_(std::move(OnResult)) {}
 
-void ClaimPartition::own(std::uint64_t Epoch) {
-  OwnedIn_ = Epoch;
+void ClaimPartition::acquire(std::uint64_t Epoch) {
+  OwnedEpoch_ = Epoch;
   if (!Table_.isLoaded())
-    wakeLoop();
+    startLoop();
 }
 
-void ClaimPartition::disown() {
-  OwnedIn_ = 0;
-  std::vector<ClaimResult> Told;
-  if (Table_.isLoaded() && !Looping_)
-    Table_.unload(Told);
-  tellAll(Told);
+void ClaimPartition::release() {
+  OwnedEpoch_ = 0;
+  std::vector<ClaimResult> Results;
+  if (Table_.isLoaded() && !LoopRunning_)
+    Table_.unload(Results);
+  deliver(Results);
 }
 
 ClaimResult ClaimPartition::claim(const retrying::ClaimKey &Key,
                                   std::uint64_t Fingerprint,
-                                  const base::HostId &Asker) {
-  if (OwnedIn_ == 0)
+                                  const base::HostId &Requester) {
+  if (OwnedEpoch_ == 0)
     return {ClaimOutcome::NotOwner, Key, 0, 0};
-  const ClaimResult Verdict =
+  const ClaimResult Result =
       Table_.claim(Key, Fingerprint, SystemClock::wallNow());
-  if (Verdict.Outcome_ == ClaimOutcome::Pending)
-    Askers_[Key] = Asker;
-  wakeLoop();
-  return Verdict;
+  if (Result.Outcome_ == ClaimOutcome::Pending)
+    Requesters_[Key] = Requester;
+  startLoop();
+  return Result;
 }
 
 void ClaimPartition::finish(const retrying::ClaimKey &Key, std::uint64_t Grant,
-                            retrying::Ran Ended, std::uint16_t Status) {
-  if (Ended == retrying::Ran::No)
+                            retrying::Ran Result, std::uint16_t Status) {
+  if (Result == retrying::Ran::No)
     Table_.cancel(Key, Grant);
-  Table_.finish(Key, Grant, Ended, Status, SystemClock::wallNow());
-  wakeLoop();
+  Table_.finish(Key, Grant, Result, Status, SystemClock::wallNow());
+  startLoop();
 }
 
-void ClaimPartition::tellAll(const std::vector<ClaimResult> &Verdicts) {
-  for (const ClaimResult &Each : Verdicts) {
-    const auto Asker = Askers_.find(Each.Key_);
-    if (Asker == Askers_.end())
+void ClaimPartition::deliver(const std::vector<ClaimResult> &Results) {
+  for (const ClaimResult &Each : Results) {
+    const auto Requester = Requesters_.find(Each.Key_);
+    if (Requester == Requesters_.end())
       continue;
-    const base::HostId Name = std::move(Asker->second);
-    Askers_.erase(Asker);
-    Tell_(Name, Each);
+    const base::HostId Name = std::move(Requester->second);
+    Requesters_.erase(Requester);
+    OnResult_(Name, Each);
   }
 }
 
-void ClaimPartition::wakeLoop() {
-  if (Looping_ || Stopped_)
+void ClaimPartition::startLoop() {
+  if (LoopRunning_ || Stopped_)
     return;
-  Looping_ = true;
-  asio::co_spawn(Strand_, loop(), reportEnd);
+  LoopRunning_ = true;
+  asio::co_spawn(Strand_, runLoop(), logException);
 }
 
-/// Runs while there is something to load, write or read back, and ends then.
-asio::awaitable<void> ClaimPartition::loop() {
+/// Runs until there is nothing left to load, write or read back.
+asio::awaitable<void> ClaimPartition::runLoop() {
   while (!Stopped_) {
-    if (OwnedIn_ == 0) {
-      std::vector<ClaimResult> Told;
+    if (OwnedEpoch_ == 0) {
+      std::vector<ClaimResult> Results;
       if (Table_.isLoaded())
-        Table_.unload(Told);
-      tellAll(Told);
+        Table_.unload(Results);
+      deliver(Results);
       break;
     }
     if (!Table_.isLoaded()) {
-      co_await loadOnce();
+      co_await load();
       continue;
     }
     if (Table_.needsReadBack()) {
-      co_await readBackOnce();
+      co_await readBack();
       continue;
     }
     const base::Duration Since = SystemClock::monotonicNow() - LastWrite_;
-    if (Since < WriteGap)
-      co_await waitFor(WriteGap - Since);
+    if (Since < MinWriteInterval)
+      co_await waitFor(MinWriteInterval - Since);
     auto Planned = Table_.planWrite(SystemClock::wallNow());
     if (!Planned)
       break;
-    co_await writeOnce(std::move(*Planned));
+    co_await write(std::move(*Planned));
   }
-  Looping_ = false;
+  LoopRunning_ = false;
 }
 
 asio::awaitable<void> ClaimPartition::waitFor(base::Duration Span) {
@@ -132,63 +132,64 @@
   co_await Timer.async_wait(asio::use_awaitable);
 }
 
-asio::awaitable<void> ClaimPartition::loadOnce() {
+asio::awaitable<void> ClaimPartition::load() {
   base::Error Last;
-  const std::uint64_t Epoch = OwnedIn_;
+  const std::uint64_t Epoch = OwnedEpoch_;
   const auto Read = co_await Store_.get(Path_, Last);
   const auto Object =
       Read ? ClaimCodec::decodeObject(Read->Value_, Read->Version_)
            : std::nullopt;
-  if (OwnedIn_ == 0)
+  if (OwnedEpoch_ == 0)
     co_return;
   if (Object && Table_.load(*Object, Epoch))
     co_return;
   if (!Read)
-    logStep("claims-not-loaded", Path_, Last);
+    logStoreFailure("claims-not-loaded", Path_, Last);
   else
-    logStep("claims-not-loaded", Path_,
-            {"claims.load", Path_,
-             Object ? "written in a later epoch" : "the object is damaged"});
-  co_await waitFor(StorePause);
+    logStoreFailure("claims-not-loaded", Path_,
+                    {"claims.load", Path_,
+                     Object ? "object was written in a later epoch"
+                            : "object is malformed"});
+  co_await waitFor(StoreRetryDelay);
 }
 
-asio::awaitable<void> ClaimPartition::writeOnce(ClaimObject Planned) {
+asio::awaitable<void> ClaimPartition::write(ClaimObject Planned) {
   base::Error Last;
   LastWrite_ = SystemClock::monotonicNow();
   ++Writes_;
   const store::PutResult Put = co_await Store_.put(
       Path_, ClaimCodec::encode(Planned), Planned.Version_, Last);
-  std::vector<ClaimResult> Told;
+  std::vector<ClaimResult> Results;
   switch (Put.Status_) {
   case store::PutStatus::Written:
-    Table_.written(Put.Version_, Told);
+    Table_.written(Put.Version_, Results);
     break;
   case store::PutStatus::Failed:
-    logStep("claims-not-written", Path_, Last);
-    Table_.failed(Told);
+    logStoreFailure("claims-not-written", Path_, Last);
+    Table_.failed(Results);
     break;
   case store::PutStatus::Conflict:
   case store::PutStatus::Unknown:
-    logStep("claims-in-doubt", Path_, Last);
+    logStoreFailure("claims-in-doubt", Path_, Last);
     Table_.inDoubt();
     break;
   }
-  tellAll(Told);
+  deliver(Results);
 }
 
-asio::awaitable<void> ClaimPartition::readBackOnce() {
+asio::awaitable<void> ClaimPartition::readBack() {
   base::Error Last;
   const auto Read = co_await Store_.get(Path_, Last);
   const auto Object =
       Read ? ClaimCodec::decodeObject(Read->Value_, Read->Version_)
            : std::nullopt;
   if (!Object) {
-    co_await waitFor(StorePause);
+    co_await waitFor(StoreRetryDelay);
     co_return;
   }
-  std::vector<ClaimResult> Told;
-  Table_.readBack(*Object, Told);
-  tellAll(Told);
+  std::vector<ClaimResult> Results;
+  Table_.readBack(*Object, Results);
+  deliver(Results);
 }
 
 } // namespace lychee::claims
--- a/libs/claims/ClaimPartition.h
+++ b/libs/claims/ClaimPartition.h
@@ -15,43 +15,46 @@
 namespace lychee::claims {
 
 /// One partition of claims at a host that may own it: its table, its object in
-/// the store, and who waits for which verdict.
+/// the store, and the hosts that wait for results.
 ///
-/// Writes are paced: the first claim after a quiet time is written at once,
-/// and while claims keep coming they share one write each WriteGap. So a
-/// partition costs the store at most 1 / WriteGap writes a second, whatever
-/// the rate of claims.
+/// Writes are rate limited: the first claim after an idle time is written at
+/// once, and further claims share one write per MinWriteInterval. So a
+/// partition makes at most 1 / MinWriteInterval writes per second, whatever the
+/// rate of claims.
 ///
-/// All calls come on one strand. \see retrying::ClaimTable for the rules
+/// Not thread-safe: all calls are made on one strand.
+/// \see retrying::ClaimTable for the rules
 class ClaimPartition {
 public:
-  /// Tells an asker its verdict.
-  using Tell = std::function<void(const base::HostId &Asker,
-                                  const retrying::ClaimResult &Verdict)>;
-
-  /// 20 writes a second: 8 partitions stay below half of the several hundred
-  /// that the store takes, and a claim waits at most this much longer.
-  static constexpr base::Duration WriteGap = std::chrono::milliseconds(50);
-
-  /// \param Owner  names this start of this host, never reused.
-  ClaimPartition(boost::asio::any_io_executor Strand, store::Store &Kept,
-                 std::uint32_t Index, std::uint64_t Owner, Tell Told);
+  /// Delivers a result to the host that made the claim.
+  using ResultHandler = std::function<void(
+      const base::HostId &Requester, const retrying::ClaimResult &Result)>;
+
+  /// 20 writes per second: 8 partitions stay below half of the several hundred
+  /// that the store accepts, and a claim waits at most this much longer.
+  static constexpr base::Duration MinWriteInterval =
+      std::chrono::milliseconds(50);
+
+  /// \param Owner  incarnation of this host, never reused.
+  ClaimPartition(boost::asio::any_io_executor Strand, store::Store &Store,
+                 std::uint32_t Index, std::uint64_t Owner,
+                 ResultHandler OnResult);
   ClaimPartition(const ClaimPartition &) = delete;
   ClaimPartition &operator=(const ClaimPartition &) = delete;
 
   /// This host owns the partition in \p Epoch.
-  void own(std::uint64_t Epoch);
-  /// Another host owns it now; what waits is told so.
-  void disown();
+  void acquire(std::uint64_t Epoch);
+  /// Another host owns the partition now: pending claims get NotOwner.
+  void release();
 
   retrying::ClaimResult claim(const retrying::ClaimKey &Key,
                               std::uint64_t Fingerprint,
-                              const base::HostId &Asker);
+                              const base::HostId &Requester);
 
-  /// The holder's word on how a grant ended; Ran::No also gives up one that is
-  /// still waiting.
+  /// Reports how the run of a grant ended. Ran::No also cancels a claim that is
+  /// still pending.
   void finish(const retrying::ClaimKey &Key, std::uint64_t Grant,
-              retrying::Ran Ended, std::uint16_t Status);
+              retrying::Ran Result, std::uint16_t Status);
 
   void stop() noexcept { Stopped_ = true; }
 
@@ -61,22 +64,22 @@
 private:
   using Task = boost::asio::awaitable<void>;
 
-  void wakeLoop();
-  Task loop();
-  Task loadOnce();
-  Task writeOnce(retrying::ClaimObject Planned);
-  Task readBackOnce();
+  void startLoop();
+  Task runLoop();
+  Task load();
+  Task write(retrying::ClaimObject Planned);
+  Task readBack();
   Task waitFor(base::Duration Span);
-  void tellAll(const std::vector<retrying::ClaimResult> &Verdicts);
+  void deliver(const std::vector<retrying::ClaimResult> &Results);
 
   const boost::asio::any_io_executor Strand_;
   store::Store &Store_;
   const std::string Path_;
   retrying::ClaimTable Table_;
-  const Tell Tell_;
-  std::unordered_map<retrying::ClaimKey, base::HostId> Askers_;
-  std::uint64_t OwnedIn_ = 0;
-  bool Looping_ = false;
+  const ResultHandler OnResult_;
+  std::unordered_map<retrying::ClaimKey, base::HostId> Requesters_;
+  std::uint64_t OwnedEpoch_ = 0;
+  bool LoopRunning_ = false;
   bool Stopped_ = false;
   base::TimePoint LastWrite_;
   std::atomic<std::uint64_t> Writes_ = 0;
--- a/libs/claims/ClaimService.cpp
+++ b/libs/claims/ClaimService.cpp
@@ -23,32 +23,33 @@
 namespace {
 
 constexpr const char *ClaimMethod = "claims.claim";
-constexpr const char *VerdictMethod = "claims.verdict";
+constexpr const char *ResultMethod = "claims.verdict";
 constexpr const char *FinishMethod = "claims.finish";
-constexpr const char *Nothing = "{}";
+constexpr const char *EmptyResponse = "{}";
 constexpr base::Duration CallTimeout = std::chrono::seconds(1);
-constexpr base::Duration SweepInterval = std::chrono::milliseconds(50);
-/// An outcome that its owner never hears leaves the claim at "may have run":
-/// correct, but worth a few tries.
-constexpr int FinishTries = 3;
-
-std::string wordText(const ClaimKey &Key, std::uint64_t Grant,
-                     retrying::Ran Ended, std::uint16_t Status) {
-  Json::Value Made(Json::objectValue);
-  Made["key"] = ClaimCodec::toText(Key);
-  Made["grant"] = Json::Value(static_cast<Json::UInt64>(Grant));
-  Made["ran"] = static_cast<unsigned>(Ended);
-  Made["status"] = Status;
-  return Codec::write(Made);
+constexpr base::Duration ExpiryInterval = std::chrono::milliseconds(50);
+/// Attempts to deliver a message to a peer. If an owner never receives the
+/// outcome of a run, the claim stays at "may have run", which is safe, but
+/// worth a few attempts to avoid.
+constexpr int DeliveryAttempts = 3;
+
+std::string encodeReport(const ClaimKey &Key, std::uint64_t Grant,
+                         retrying::Ran Result, std::uint16_t Status) {
+  Json::Value Encoded(Json::objectValue);
+  Encoded["key"] = ClaimCodec::toText(Key);
+  Encoded["grant"] = Json::Value(static_cast<Json::UInt64>(Grant));
+  Encoded["ran"] = static_cast<unsigned>(Result);
+  Encoded["status"] = Status;
+  return Codec::write(Encoded);
 }
 
-void reportEnd(const std::exception_ptr &Thrown) {
+void logException(const std::exception_ptr &Thrown) {
   reporting::logThrown("claims-failed", Thrown);
 }
 
 } // namespace
 
-ClaimService::ClaimService(asio::io_context &Context, store::Store &Kept,
+ClaimService::ClaimService(asio::io_context &Context, store::Store &Store,
                            fleet::PeerClient &Peers,
                            fleet::RpcDispatcher &Handlers, base::HostId Self,
                            std::uint64_t Incarnation)
@@ -56,39 +57,43 @@
       Strand_(asio::make_strand(Context)) {
   for (std::uint32_t Index = 0; Index < PartitionCount; ++Index)
     Partitions_[Index] = std::make_unique<ClaimPartition>(
-        Strand_, Kept, Index, Incarnation,
-        [this](const base::HostId &Asker, const ClaimResult &Verdict) {
-          tell(Asker, Verdict);
+        Strand_, Store, Index, Incarnation,
+        [this](const base::HostId &Requester, const ClaimResult &Result) {
+          deliver(Requester, Result);
         });
   bind(Handlers);
 }
 
 void ClaimService::bind(fleet::RpcDispatcher &Handlers) {
-  const auto Bound = [&](const char *Method, std::string (ClaimService::*Heard)(
-                                                 const std::string &)) {
-    Handlers.bind(Method, [this, Heard](const fleet::RpcCaller &,
-                                        const std::string &Text) {
-      return fleet::RpcOutcome{
-          0, onStrand([this, Heard, Text] { return (this->*Heard)(Text); })};
-    });
-  };
-  Bound(ClaimMethod, &ClaimService::hearClaim);
-  Bound(VerdictMethod, &ClaimService::hearVerdict);
-  Bound(FinishMethod, &ClaimService::hearFinish);
+  const auto Bound =
+      [&](const char *Method,
+          std::string (ClaimService::*Handler)(const std::string &)) {
+        Handlers.bind(Method, [this, Handler](const fleet::RpcCaller &,
+                                              const std::string &Text) {
+          return fleet::RpcOutcome{0, runOnStrand([this, Handler, Text] {
+                                     return (this->*Handler)(Text);
+                                   })};
+        });
+      };
+  Bound(ClaimMethod, &ClaimService::handleClaim);
+  Bound(ResultMethod, &ClaimService::handleResult);
+  Bound(FinishMethod, &ClaimService::handleFinish);
 }
 
-std::string ClaimService::onStrand(std::function<std::string()> Made) {
-  const auto Work =
-      std::make_shared<std::packaged_task<std::string()>>(std::move(Made));
-  std::future<std::string> Result = Work->get_future();
-  asio::post(Strand_, [Work] { (*Work)(); });
-  // While the process stops nobody may run the strand any more.
+std::string ClaimService::runOnStrand(std::function<std::string()> Work) {
+  const auto Packaged =
+      std::make_shared<std::packaged_task<std::string()>>(std::move(Work));
+  std::future<std::string> Result = Packaged->get_future();
+  asio::post(Strand_, [Packaged] { (*Packaged)(); });
+  // While the process stops, the strand may no longer be running.
   if (Result.wait_for(CallTimeout) != std::future_status::ready)
-    return Nothing;
+    return EmptyResponse;
   return Result.get();
 }
 
-void ClaimService::start() { asio::co_spawn(Strand_, sweep(), reportEnd); }
+void ClaimService::start() {
+  asio::co_spawn(Strand_, expirePending(), logException);
+}
 
 void ClaimService::stop() {
   Stopped_ = true;
@@ -105,7 +110,7 @@
   return Sum;
 }
 
-// Who owns what.
+// Ownership of partitions.
 
 void ClaimService::updateMembers(std::uint64_t Epoch,
                                  std::vector<ClaimMember> Members) {
@@ -121,9 +126,9 @@
       const bool Owned =
           Processes_[retrying::ownerOf(Index, Processes_)] == Self_;
       if (Owned)
-        Partitions_[Index]->own(Epoch);
+        Partitions_[Index]->acquire(Epoch);
       else
-        Partitions_[Index]->disown();
+        Partitions_[Index]->release();
     }
   });
 }
@@ -146,30 +151,30 @@
   return {};
 }
 
-// A request's claim.
+// Claims of this host.
 
 void ClaimService::claim(const ClaimKey &Key, std::uint64_t Fingerprint,
-                         Answered Done) {
-  asio::post(Strand_, [this, Key, Fingerprint, Told = std::move(Done)] {
-    claimOnStrand(Key, Fingerprint, Told);
+                         ResultHandler Done) {
+  asio::post(Strand_, [this, Key, Fingerprint, Callback = std::move(Done)] {
+    claimOnStrand(Key, Fingerprint, Callback);
   });
 }
 
 void ClaimService::claimOnStrand(const ClaimKey &Key, std::uint64_t Fingerprint,
-                                 Answered Done) {
+                                 ResultHandler Done) {
   const ClaimMember *Owner = ownerFor(Key);
   if (Owner == nullptr)
     return Done({ClaimOutcome::NotOwner, Key, 0, 0});
-  // Another request with the key is on its way through this very host.
-  if (Waiters_.contains(Key) || Grants_.contains(Key))
+  // This host already has a pending or granted claim for the key.
+  if (Pending_.contains(Key) || Grants_.contains(Key))
     return Done({ClaimOutcome::MayHaveRun, Key, 0, 0});
-  Waiters_[Key] = {std::move(Done), SystemClock::monotonicNow() + Patience, 0,
-                   Owner->Process_};
+  Pending_[Key] = {std::move(Done), SystemClock::monotonicNow() + ClaimTimeout,
+                   0, Owner->Process_};
   if (Owner->Process_ == Self_)
-    return settleWaiter(partitionFor(Key).claim(Key, Fingerprint, Self_),
-                        Self_);
+    return resolvePending(partitionFor(Key).claim(Key, Fingerprint, Self_),
+                          Self_);
   asio::co_spawn(Strand_, claimRemotely(Key, Fingerprint, Owner->Process_),
-                 reportEnd);
+                 logException);
 }
 
 asio::awaitable<void> ClaimService::claimRemotely(ClaimKey Key,
@@ -183,47 +188,47 @@
   const auto Answer = co_await Peers_.call(
       addressOf(Owner), ClaimMethod, Codec::write(Asked), CallTimeout, Last);
   const auto Parsed = Answer ? Codec::parse(*Answer) : std::nullopt;
-  const auto Verdict = Parsed ? ClaimCodec::toVerdict(*Parsed) : std::nullopt;
-  // Unanswered, it may be granted all the same; it then stays at "may have
-  // run", although it did not: the safe side.
-  settleWaiter(Verdict.value_or(ClaimResult{ClaimOutcome::NotOwner, Key, 0, 0}),
-               Owner);
+  const auto Result = Parsed ? ClaimCodec::toResult(*Parsed) : std::nullopt;
+  // If the call fails, the claim may still be granted. It then stays at "may
+  // have run" although it did not run, which is the safe side.
+  resolvePending(
+      Result.value_or(ClaimResult{ClaimOutcome::NotOwner, Key, 0, 0}), Owner);
 }
 
-/// A verdict on this host's own claim came, or that it is pending.
-void ClaimService::settleWaiter(const ClaimResult &Verdict,
-                                const base::HostId &Owner) {
-  const auto Found = Waiters_.find(Verdict.Key_);
-  // A verdict that nobody waits for is passed over, and its claim stays at "may
-  // have run". Giving it back here would be wrong: a verdict is told again when
-  // its first telling was not confirmed, and the second one may come after the
-  // request has run and before the owner has heard so.
-  if (Found == Waiters_.end() || Found->second.Owner_ != Owner)
+/// Handles the result of one of this host's claims, or that it is pending.
+void ClaimService::resolvePending(const ClaimResult &Result,
+                                  const base::HostId &Owner) {
+  const auto Found = Pending_.find(Result.Key_);
+  // A result that no claim waits for is ignored, and its claim stays at "may
+  // have run". Releasing the grant here would be wrong: a result is sent again
+  // if its first delivery was not confirmed, and the second one may arrive
+  // after the request has run and before the owner has received its outcome.
+  if (Found == Pending_.end() || Found->second.Owner_ != Owner)
     return;
-  if (Verdict.Outcome_ == ClaimOutcome::Pending) {
-    Found->second.Grant_ = Verdict.Grant_;
+  if (Result.Outcome_ == ClaimOutcome::Pending) {
+    Found->second.Grant_ = Result.Grant_;
     return;
   }
-  const Answered Done = std::move(Found->second.Done_);
-  Waiters_.erase(Found);
-  if (Verdict.Outcome_ == ClaimOutcome::Granted)
-    Grants_[Verdict.Key_] = {Verdict.Grant_, Owner};
-  Done(Verdict);
+  const ResultHandler Done = std::move(Found->second.Done_);
+  Pending_.erase(Found);
+  if (Result.Outcome_ == ClaimOutcome::Granted)
+    Grants_[Result.Key_] = {Result.Grant_, Owner};
+  Done(Result);
 }
 
-/// Ends the waits of claims whose patience is over.
-asio::awaitable<void> ClaimService::sweep() {
+/// Refuses pending claims whose timeout has passed.
+asio::awaitable<void> ClaimService::expirePending() {
   asio::steady_timer Timer(Strand_);
   while (!Stopped_) {
-    Timer.expires_after(SweepInterval);
+    Timer.expires_after(ExpiryInterval);
     co_await Timer.async_wait(asio::use_awaitable);
     const base::TimePoint Now = SystemClock::monotonicNow();
-    std::vector<std::pair<ClaimKey, Waiter>> Over;
-    for (auto &[Key, Each] : Waiters_)
+    std::vector<std::pair<ClaimKey, PendingClaim>> Expired;
+    for (auto &[Key, Each] : Pending_)
       if (Now >= Each.Until_)
-        Over.emplace_back(Key, std::move(Each));
-    for (auto &[Key, Each] : Over) {
-      Waiters_.erase(Key);
+        Expired.emplace_back(Key, std::move(Each));
+    for (auto &[Key, Each] : Expired) {
+      Pending_.erase(Key);
       if (Each.Grant_ != 0)
         finishAt(Each.Owner_, {Key, Each.Grant_, retrying::Ran::No, 0});
       Each.Done_({ClaimOutcome::StoreUnavailable, Key, 0, 0});
@@ -231,100 +236,104 @@
   }
 }
 
-void ClaimService::finish(const ClaimKey &Key, retrying::Ran Ended,
+void ClaimService::finish(const ClaimKey &Key, retrying::Ran Result,
                           std::uint16_t Status) {
-  asio::post(Strand_, [this, Key, Ended, Status] {
+  asio::post(Strand_, [this, Key, Result, Status] {
     const auto Found = Grants_.find(Key);
     if (Found == Grants_.end())
       return;
     const Grant Held = Found->second;
     Grants_.erase(Found);
-    finishAt(Held.Owner_, {Key, Held.Number_, Ended, Status});
+    finishAt(Held.Owner_, {Key, Held.Number_, Result, Status});
   });
 }
 
-void ClaimService::finishAt(const base::HostId &Owner, const Word &Ended) {
+void ClaimService::finishAt(const base::HostId &Owner,
+                            const RunReport &Report) {
   if (Owner == Self_)
-    return partitionFor(Ended.Key_)
-        .finish(Ended.Key_, Ended.Grant_, Ended.Ended_, Ended.Status_);
+    return partitionFor(Report.Key_)
+        .finish(Report.Key_, Report.Grant_, Report.Result_, Report.Status_);
   const std::string Address = addressOf(Owner);
   if (Address.empty())
     return;
-  asio::co_spawn(Strand_,
-                 finishRemotely(Address, wordText(Ended.Key_, Ended.Grant_,
-                                                  Ended.Ended_, Ended.Status_)),
-                 reportEnd);
+  asio::co_spawn(
+      Strand_,
+      finishRemotely(Address, encodeReport(Report.Key_, Report.Grant_,
+                                           Report.Result_, Report.Status_)),
+      logException);
 }
 
 asio::awaitable<void> ClaimService::finishRemotely(std::string Address,
                                                    std::string Text) {
-  for (int Try = 0; Try < FinishTries && !Stopped_; ++Try) {
+  for (int Attempt = 0; Attempt < DeliveryAttempts && !Stopped_; ++Attempt) {
     base::Error Ignored;
-    const auto Heard =
+    const auto Response =
         co_await Peers_.call(Address, FinishMethod, Text, CallTimeout, Ignored);
-    if (Heard)
+    if (Response)
       co_return;
   }
 }
 
-// What peers call.
+// Calls from peers.
 
-std::string ClaimService::hearClaim(const std::string &Text) {
+std::string ClaimService::handleClaim(const std::string &Text) {
   const auto Parsed = Codec::parse(Text);
   const auto Key = Parsed && (*Parsed)["key"].isString()
                        ? ClaimCodec::toKey((*Parsed)["key"].asString())
                        : std::nullopt;
   if (!Key || !(*Parsed)["fingerprint"].isUInt64() ||
       !(*Parsed)["asker"].isString())
-    return Nothing;
+    return EmptyResponse;
   return Codec::write(ClaimCodec::toJson(
       partitionFor(*Key).claim(*Key, (*Parsed)["fingerprint"].asUInt64(),
                                base::HostId((*Parsed)["asker"].asString()))));
 }
 
-std::string ClaimService::hearVerdict(const std::string &Text) {
+std::string ClaimService::handleResult(const std::string &Text) {
   const auto Parsed = Codec::parse(Text);
-  const auto Verdict =
-      Parsed ? ClaimCodec::toVerdict((*Parsed)["verdict"]) : std::nullopt;
-  if (Verdict && (*Parsed)["owner"].isString())
-    settleWaiter(*Verdict, base::HostId((*Parsed)["owner"].asString()));
-  return Nothing;
+  const auto Result =
+      Parsed ? ClaimCodec::toResult((*Parsed)["verdict"]) : std::nullopt;
+  if (Result && (*Parsed)["owner"].isString())
+    resolvePending(*Result, base::HostId((*Parsed)["owner"].asString()));
+  return EmptyResponse;
 }
 
-std::string ClaimService::hearFinish(const std::string &Text) {
+std::string ClaimService::handleFinish(const std::string &Text) {
   const auto Parsed = Codec::parse(Text);
   if (!Parsed || !(*Parsed)["key"].isString() ||
       !(*Parsed)["grant"].isUInt64() || !(*Parsed)["ran"].isUInt() ||
       !(*Parsed)["status"].isUInt())
-    return Nothing;
+    return EmptyResponse;
   const auto Key = ClaimCodec::toKey((*Parsed)["key"].asString());
-  const unsigned Ended = (*Parsed)["ran"].asUInt();
-  if (Key && Ended <= static_cast<unsigned>(retrying::Ran::Yes))
+  const unsigned Ran = (*Parsed)["ran"].asUInt();
+  if (Key && Ran <= static_cast<unsigned>(retrying::Ran::Yes))
     partitionFor(*Key).finish(
-        *Key, (*Parsed)["grant"].asUInt64(), static_cast<retrying::Ran>(Ended),
+        *Key, (*Parsed)["grant"].asUInt64(), static_cast<retrying::Ran>(Ran),
         static_cast<std::uint16_t>((*Parsed)["status"].asUInt()));
-  return Nothing;
+  return EmptyResponse;
 }
 
-void ClaimService::tell(const base::HostId &Asker, const ClaimResult &Verdict) {
-  if (Asker == Self_)
-    return settleWaiter(Verdict, Self_);
-  const std::string Address = addressOf(Asker);
+void ClaimService::deliver(const base::HostId &Requester,
+                           const ClaimResult &Result) {
+  if (Requester == Self_)
+    return resolvePending(Result, Self_);
+  const std::string Address = addressOf(Requester);
   if (Address.empty())
     return;
-  Json::Value Made(Json::objectValue);
-  Made["owner"] = Self_.name();
-  Made["verdict"] = ClaimCodec::toJson(Verdict);
-  asio::co_spawn(Strand_, tellRemotely(Address, Codec::write(Made)), reportEnd);
+  Json::Value Encoded(Json::objectValue);
+  Encoded["owner"] = Self_.name();
+  Encoded["verdict"] = ClaimCodec::toJson(Result);
+  asio::co_spawn(Strand_, deliverRemotely(Address, Codec::write(Encoded)),
+                 logException);
 }
 
-asio::awaitable<void> ClaimService::tellRemotely(std::string Address,
-                                                 std::string Verdict) {
-  for (int Try = 0; Try < FinishTries && !Stopped_; ++Try) {
+asio::awaitable<void> ClaimService::deliverRemotely(std::string Address,
+                                                    std::string Text) {
+  for (int Attempt = 0; Attempt < DeliveryAttempts && !Stopped_; ++Attempt) {
     base::Error Ignored;
-    const auto Heard = co_await Peers_.call(Address, VerdictMethod, Verdict,
-                                            CallTimeout, Ignored);
-    if (Heard)
+    const auto Response =
+        co_await Peers_.call(Address, ResultMethod, Text, CallTimeout, Ignored);
+    if (Response)
       co_return;
   }
 }
--- a/libs/claims/ClaimService.h
+++ b/libs/claims/ClaimService.h
@@ -20,30 +20,35 @@
 
 namespace lychee::claims {
 
-/// A process of the fleet that may own partitions.
+/// A member of the fleet that may own partitions.
 struct ClaimMember {
   base::HostId Process_;
   /// IP:PORT of its peer listener.
   std::string Address_;
 };
 
-/// Claims for all requests of one host, whichever host owns their partition.
-/// Thread-safe: its state stands on one strand, and callers' threads only post
-/// to it. An owner answers a peer's claim at once with "pending" and calls the
-/// peer back when the group is written, so that a slow store holds up no thread
-/// of a peer listener. \see ClaimPartition, docs/design/claims.md
+/// Makes the claims for the requests of one host, whichever host owns their
+/// partitions, and serves the claims of peers for the partitions of this host.
+/// An owner answers a peer's claim at once with "pending" and calls the peer
+/// back when the claim is written, so that a slow store does not block the
+/// threads of the peer listener.
+///
+/// Thread-safe: its state is only used on one strand, and other threads post to
+/// it. \see ClaimPartition, docs/design/claims.md
 class ClaimService {
 public:
-  using Answered = std::function<void(const retrying::ClaimResult &Verdict)>;
+  using ResultHandler =
+      std::function<void(const retrying::ClaimResult &Result)>;
 
-  /// Partitions of the whole fleet. More owners share the work, more writes
-  /// reach the store: each may make 20 a second.
+  /// Partitions of the whole fleet. More partitions divide the load among more
+  /// owners, but cause more writes to the store: each may make 20 per second.
   static constexpr std::uint32_t PartitionCount = 8;
-  /// A claim that is not answered by then is refused, and given up at its
-  /// owner: long enough for a write, its lost answer and its reading back.
-  static constexpr base::Duration Patience = std::chrono::seconds(4);
+  /// A claim without a result after this time is refused, and cancelled at its
+  /// owner. Long enough for a write whose response is lost, and for reading it
+  /// back.
+  static constexpr base::Duration ClaimTimeout = std::chrono::seconds(4);
 
-  ClaimService(boost::asio::io_context &Context, store::Store &Kept,
+  ClaimService(boost::asio::io_context &Context, store::Store &Store,
                fleet::PeerClient &Peers, fleet::RpcDispatcher &Handlers,
                base::HostId Self, std::uint64_t Incarnation);
   ClaimService(const ClaimService &) = delete;
@@ -52,25 +57,26 @@
   void start();
   void stop();
 
-  /// Partitions go to the members by rendezvous hashing. From any thread.
+  /// Assigns the partitions to the members by rendezvous hashing. May be called
+  /// from any thread.
   void updateMembers(std::uint64_t Epoch, std::vector<ClaimMember> Members);
 
-  /// Asks to run a request. \p Done is called once, from the strand.
+  /// Claims the right to run a request. \p Done is called once, on the strand.
   void claim(const retrying::ClaimKey &Key, std::uint64_t Fingerprint,
-             Answered Done);
+             ResultHandler Done);
 
-  /// Tells how a granted request ended.
-  void finish(const retrying::ClaimKey &Key, retrying::Ran Ended,
+  /// Reports how a granted request ended.
+  void finish(const retrying::ClaimKey &Key, retrying::Ran Result,
               std::uint16_t Status);
 
-  /// Writes to the store so far, for metrics.
+  /// \returns the number of writes to the store so far, for metrics.
   std::uint64_t writes() const noexcept;
 
 private:
   using Task = boost::asio::awaitable<void>;
 
-  struct Waiter {
-    Answered Done_;
+  struct PendingClaim {
+    ResultHandler Done_;
     base::TimePoint Until_;
     std::uint64_t Grant_ = 0;
     base::HostId Owner_;
@@ -81,31 +87,33 @@
     base::HostId Owner_;
   };
 
-  struct Word {
+  struct RunReport {
     retrying::ClaimKey Key_;
     std::uint64_t Grant_ = 0;
-    retrying::Ran Ended_ = retrying::Ran::Maybe;
+    retrying::Ran Result_ = retrying::Ran::Maybe;
     std::uint16_t Status_ = 0;
   };
 
   void bind(fleet::RpcDispatcher &Handlers);
-  /// Runs \p Made on the strand and waits: only for what does no I/O.
-  std::string onStrand(std::function<std::string()> Made);
-  std::string hearClaim(const std::string &Text);
-  std::string hearVerdict(const std::string &Text);
-  std::string hearFinish(const std::string &Text);
+  /// Runs \p Work on the strand and waits for its result. \p Work must not do
+  /// I/O.
+  std::string runOnStrand(std::function<std::string()> Work);
+  std::string handleClaim(const std::string &Text);
+  std::string handleResult(const std::string &Text);
+  std::string handleFinish(const std::string &Text);
 
   void claimOnStrand(const retrying::ClaimKey &Key, std::uint64_t Fingerprint,
-                     Answered Done);
+                     ResultHandler Done);
   Task claimRemotely(retrying::ClaimKey Key, std::uint64_t Fingerprint,
                      base::HostId Owner);
-  void tell(const base::HostId &Asker, const retrying::ClaimResult &Verdict);
-  Task tellRemotely(std::string Address, std::string Verdict);
-  void settleWaiter(const retrying::ClaimResult &Verdict,
-                    const base::HostId &Owner);
-  void finishAt(const base::HostId &Owner, const Word &Ended);
+  void deliver(const base::HostId &Requester,
+               const retrying::ClaimResult &Result);
+  Task deliverRemotely(std::string Address, std::string Text);
+  void resolvePending(const retrying::ClaimResult &Result,
+                      const base::HostId &Owner);
+  void finishAt(const base::HostId &Owner, const RunReport &Report);
   Task finishRemotely(std::string Address, std::string Text);
-  Task sweep();
+  Task expirePending();
 
   ClaimPartition &partitionFor(const retrying::ClaimKey &Key);
   const ClaimMember *ownerFor(const retrying::ClaimKey &Key) const;
@@ -118,7 +126,7 @@
   std::vector<ClaimMember> Members_;
   std::vector<base::HostId> Processes_;
   std::uint64_t Epoch_ = 0;
-  std::unordered_map<retrying::ClaimKey, Waiter> Waiters_;
+  std::unordered_map<retrying::ClaimKey, PendingClaim> Pending_;
   std::unordered_map<retrying::ClaimKey, Grant> Grants_;
   std::atomic<bool> Stopped_ = false;
 };
