--- a/libs/steering/FleetSteering.cpp
+++ b/libs/steering/FleetSteering.cpp
@@ -8,11 +8,11 @@
 
 constexpr std::uint64_t IndexMask = 0xffff;
 
-admission::RateCheck rateCheckOf(const budget::SpendOutcome &Spent) {
-  /// A customer that is told to come back later than this is told this.
-  constexpr base::Duration LongestRetryAfter = std::chrono::seconds(60);
-  return {Spent.Result_ == budget::SpendResult::Granted,
-          std::min(Spent.RefillTime_, LongestRetryAfter)};
+admission::RateCheck rateCheckOf(const budget::SpendOutcome &Spending) {
+  /// Upper bound of the retry time that a customer is given.
+  constexpr base::Duration MaxRetryAfter = std::chrono::seconds(60);
+  return {Spending.Result_ == budget::SpendResult::Granted,
+          std::min(Spending.RefillTime_, MaxRetryAfter)};
 }
 
 } // namespace
@@ -30,8 +30,8 @@
     Intent_ = Intent;
     for (const auto &[Id, Service] : Intent->Services_) {
       const bool Known =
-          std::ranges::any_of(Services_, [&Name = Id](const auto &Held) {
-            return Held->id() == Name;
+          std::ranges::any_of(Services_, [&Name = Id](const auto &Existing) {
+            return Existing->id() == Name;
           });
       if (Known)
         continue;
@@ -75,17 +75,17 @@
 }
 
 HostLoadUpdate FleetSteering::makeLoadUpdate(base::TimePoint Now) const {
-  HostLoadUpdate Round;
-  Round.Host_ = Settings_.Host_;
+  HostLoadUpdate Update;
+  Update.Host_ = Settings_.Host_;
   for (const ServicePointer &Service : services())
-    Service->addRound(Round, Now);
-  return Round;
+    Service->addLoadUpdate(Update, Now);
+  return Update;
 }
 
-void FleetSteering::receiveLoadUpdate(const HostLoadUpdate &Round,
+void FleetSteering::receiveLoadUpdate(const HostLoadUpdate &Update,
                                       base::TimePoint Now) {
   for (const ServicePointer &Service : services())
-    Service->heardRound(Round, Now);
+    Service->receiveLoadUpdate(Update, Now);
 }
 
 void FleetSteering::enterEpoch(std::uint64_t Epoch,
@@ -103,8 +103,9 @@
 }
 
 bool FleetSteering::conformsToEpoch() const {
-  return std::ranges::all_of(
-      services(), [](const ServicePointer &Each) { return Each->fits(); });
+  return std::ranges::all_of(services(), [](const ServicePointer &Service) {
+    return Service->conformsToEpoch();
+  });
 }
 
 void FleetSteering::settleEpoch(std::uint64_t Epoch) {
@@ -119,34 +120,34 @@
 }
 
 std::vector<SlotRequest> FleetSteering::slotRequests(base::TimePoint Now) {
-  std::vector<SlotRequest> Asks;
+  std::vector<SlotRequest> Requests;
   for (const ServicePointer &Service : services())
-    Service->addAsks(Asks, Now);
-  return Asks;
+    Service->addSlotRequests(Requests, Now);
+  return Requests;
 }
 
-std::optional<SlotGrant> FleetSteering::grantSlots(const SlotRequest &Asked,
+std::optional<SlotGrant> FleetSteering::grantSlots(const SlotRequest &Request,
                                                    base::TimePoint Now) {
-  const ServicePointer Service = find(Asked.Service_);
+  const ServicePointer Service = find(Request.Service_);
   if (!Service)
     return std::nullopt;
-  SlotGrant Gift;
-  Gift.Counts_ = Service->giveSlots(Asked, Now);
-  if (Gift.Counts_.empty())
+  SlotGrant Grant;
+  Grant.Counts_ = Service->grantSlots(Request, Now);
+  if (Grant.Counts_.empty())
     return std::nullopt;
-  Gift.Donor_ = Settings_.Host_;
-  Gift.Receiver_ = Asked.Requester_;
-  Gift.Service_ = Asked.Service_;
-  Gift.Region_ = Asked.Region_;
-  return Gift;
+  Grant.Donor_ = Settings_.Host_;
+  Grant.Receiver_ = Request.Requester_;
+  Grant.Service_ = Request.Service_;
+  Grant.Region_ = Request.Region_;
+  return Grant;
 }
 
-void FleetSteering::acceptSlots(const SlotGrant &Gift, base::TimePoint Now,
-                                std::vector<Wakeup> &Woken) {
-  if (Gift.Receiver_ != Settings_.Host_)
+void FleetSteering::acceptSlots(const SlotGrant &Grant, base::TimePoint Now,
+                                std::vector<Wakeup> &Wakeups) {
+  if (Grant.Receiver_ != Settings_.Host_)
     return;
-  if (const ServicePointer Service = find(Gift.Service_))
-    Service->acceptSlots(Gift, Now, Woken);
+  if (const ServicePointer Service = find(Grant.Service_))
+    Service->acceptSlots(Grant, Now, Wakeups);
 }
 
 void FleetSteering::reportTargetLoad(const base::ServiceId &Service,
@@ -154,26 +155,26 @@
                                      std::uint32_t Load,
                                      base::TimePoint MeasuredAt) {
   if (const ServicePointer Known = find(Service))
-    Known->reported(Target, Load, MeasuredAt);
+    Known->reportTargetLoad(Target, Load, MeasuredAt);
 }
 
-Decision FleetSteering::arrive(const Request &Arrived, base::TimePoint Now) {
-  const ServicePointer Service = find(Arrived.Service_);
+Decision FleetSteering::arrive(const Request &NewRequest, base::TimePoint Now) {
+  const ServicePointer Service = find(NewRequest.Service_);
   if (!Service) {
     Decision Refused;
     Refused.Refusal_ = Refusal::UnknownService;
     Refused.Reason_ = nameOf(Refused.Refusal_);
     return Refused;
   }
-  return Service->arrive(Arrived, checkRate(Arrived.Customer_, Now), Now);
+  return Service->arrive(NewRequest, checkRate(NewRequest.Customer_, Now), Now);
 }
 
 admission::RateCheck FleetSteering::checkRate(const base::CustomerId &Customer,
                                               base::TimePoint Now) {
   if (Settings_.Rates_)
     return rateCheckOf(Settings_.Rates_->spend(rateBudgetName(Customer), Now));
-  const auto ComeBackAfter = Rates_.take(Customer, Now);
-  return {!ComeBackAfter, ComeBackAfter.value_or(base::Duration())};
+  const auto RetryAfter = Rates_.take(Customer, Now);
+  return {!RetryAfter, RetryAfter.value_or(base::Duration())};
 }
 
 HostContext FleetSteering::makeContext() {
@@ -204,9 +205,9 @@
 
 Decision FleetSteering::finish(std::uint64_t Ticket, const SendReport &Report,
                                base::TimePoint Now,
-                               std::vector<Wakeup> &Woken) {
+                               std::vector<Wakeup> &Wakeups) {
   const ServicePointer Service = find(Ticket);
-  return Service ? Service->finish(Ticket, Report, Now, Woken) : Decision{};
+  return Service ? Service->finish(Ticket, Report, Now, Wakeups) : Decision{};
 }
 
 void FleetSteering::cancel(std::uint64_t Ticket, base::TimePoint Now) {
@@ -214,9 +215,9 @@
     Service->cancel(Ticket, Now);
 }
 
-void FleetSteering::tick(base::TimePoint Now, std::vector<Wakeup> &Woken) {
+void FleetSteering::tick(base::TimePoint Now, std::vector<Wakeup> &Wakeups) {
   for (const ServicePointer &Service : services())
-    Service->tick(Now, Woken);
+    Service->tick(Now, Wakeups);
 }
 
 FleetSteering::ServicePointer
--- a/libs/steering/FleetSteering.h
+++ b/libs/steering/FleetSteering.h
@@ -13,94 +13,97 @@
 
 namespace lychee::steering {
 
-/// What one host's steering is made from.
+/// Configuration of one host's steering.
 struct SteeringSettings {
   base::HostId Host_;
   base::RegionId Region_;
-  /// Seeds the choices among equal targets, so that hosts differ.
+  /// Seed of the choices among equal targets; differs between hosts so that
+  /// they choose differently.
   std::uint64_t Seed_ = 1;
   ServiceLimits Limits_;
-  /// This host's shares of customers' rates, which its owner exchanges with
-  /// peers and which outlives the steering. Without one, setRateShare says what
-  /// part of each rate this host may give out.
+  /// This host's shares of customers' rates. The owner exchanges them with
+  /// peers, and they outlive the steering. If null, setRateShare() sets the
+  /// part of each rate that this host may use.
   budget::RateBudgets *Rates_ = nullptr;
 };
 
-/// The steering of one host of the fleet: the operators' intent, this host's
-/// shares of the fleet's budgets, what its peers tell and what it saw itself.
-/// One instance a process; scenarios hold one a simulated host.
+/// The steering of one host of the fleet, from the operators' intent, this
+/// host's shares of the fleet's budgets, the peers' updates and its own
+/// observations. One instance per process; scenarios hold one per simulated
+/// host.
 ///
-/// Thread-safe. Each service is under a lock of its own, customers' rates are
-/// in shards; two calls that take different services never wait for each
-/// other. \see ServiceSteering, RateTable
+/// Thread-safe. Each service has its own lock and customers' rates are sharded,
+/// so calls for different services do not block each other beyond a short
+/// look-up. \see ServiceSteering, RateTable
 class FleetSteering final : public Steering {
 public:
   explicit FleetSteering(SteeringSettings Settings);
   FleetSteering(const FleetSteering &) = delete;
   FleetSteering &operator=(const FleetSteering &) = delete;
 
-  /// Puts a version of the operators' intent in force. An older version than
-  /// the one in force is passed over: hosts never go back.
+  /// Applies a version of the operators' intent. A version older than the
+  /// current one is ignored: hosts never go back.
   void applyIntent(const std::shared_ptr<const settings::Intent> &Intent,
                    base::TimePoint Now);
 
-  /// Tells what time of day it is, by which shift plans run.
+  /// Sets the wall clock time, by which shift plans run.
   void setWallTime(base::WallPoint Wall, base::TimePoint Now);
 
-  /// \returns the budget of a customer's rate in RateBudgets.
+  /// \returns the name of the budget of a customer's rate.
   static std::string rateBudgetName(const base::CustomerId &Customer) {
     return "rate/" + Customer.name();
   }
 
-  /// Sets what part of a customer's rate and burst this host may give out, 0
-  /// to 1. Until the first call a customer has DefaultShare_.
+  /// Sets the part of a customer's rate and burst that this host may use, 0 to
+  /// 1. Customers without a call use the default share.
   void setRateShare(const base::CustomerId &Customer, double Share,
                     base::TimePoint Now);
 
-  /// Sets the share of customers for which setRateShare was never called, such
-  /// as one by the number of hosts.
+  /// Sets the share of the customers for which setRateShare() was never called,
+  /// for example one divided by the number of hosts.
   void setDefaultRateShare(double Share, base::TimePoint Now);
 
   /// Sets the other hosts of the fleet, which send to the same targets.
   void setPeers(std::span<const base::HostId> Peers);
 
-  /// \returns what to tell all peers now; to be called about every 50 ms.
+  /// \returns the update to send to all peers; to be called about every 50 ms.
   HostLoadUpdate makeLoadUpdate(base::TimePoint Now) const;
-  void receiveLoadUpdate(const HostLoadUpdate &Round, base::TimePoint Now);
+  void receiveLoadUpdate(const HostLoadUpdate &Update, base::TimePoint Now);
 
-  // Division of targets' slots among hosts. Without an epoch hosts go by what
-  // the others say they have in flight. \see SlotTable
+  // Division of targets' slots among hosts. Before the first epoch hosts go by
+  // the requests that the others report to have in flight. \see SlotTable
 
   /// Enters a membership epoch.
-  /// \param Members  all hosts of it, this one included.
+  /// \param Members  all hosts of the epoch, this one included.
   void enterEpoch(std::uint64_t Epoch, std::span<const Member> Members);
-  /// \returns true where nothing older than the epoch is in use any more, so
-  /// that this host may tell the others that it has entered.
+  /// \returns true once no more slots are in use than the epoch leaves this
+  /// host, so that it may report to the others that it has entered the epoch.
   bool conformsToEpoch() const;
-  /// All hosts of older epochs have entered, or are gone.
+  /// Settles the epoch: all hosts of older epochs have entered \p Epoch, or are
+  /// gone.
   void settleEpoch(std::uint64_t Epoch);
-  /// \returns what to ask of peers now, each ask to its Donor_; to be called
+  /// \returns the slot requests to send now, each to its Donor_; to be called
   /// every few milliseconds.
   std::vector<SlotRequest> slotRequests(base::TimePoint Now);
-  /// \returns what to tell the asker; empty where nothing can be given.
-  std::optional<SlotGrant> grantSlots(const SlotRequest &Asked,
+  /// \returns the grant for the requester; empty where nothing can be granted.
+  std::optional<SlotGrant> grantSlots(const SlotRequest &Request,
                                       base::TimePoint Now);
-  void acceptSlots(const SlotGrant &Gift, base::TimePoint Now,
-                   std::vector<Wakeup> &Woken);
+  void acceptSlots(const SlotGrant &Grant, base::TimePoint Now,
+                   std::vector<Wakeup> &Wakeups);
 
-  /// A target told how many requests it works on or holds.
+  /// Records a target's own load report: the requests that it runs or queues.
   void reportTargetLoad(const base::ServiceId &Service,
                         const base::TargetId &Target, std::uint32_t Load,
                         base::TimePoint MeasuredAt);
 
-  /// Requests that are taken to crash targets; peers merge each other's.
+  /// Requests suspected of crashing targets; peers merge each other's evidence.
   retrying::CrashSuspects &crashSuspects() noexcept { return Suspects_; }
 
-  Decision arrive(const Request &Arrived, base::TimePoint Now) override;
+  Decision arrive(const Request &NewRequest, base::TimePoint Now) override;
   Decision finish(std::uint64_t Ticket, const SendReport &Report,
-                  base::TimePoint Now, std::vector<Wakeup> &Woken) override;
+                  base::TimePoint Now, std::vector<Wakeup> &Wakeups) override;
   void cancel(std::uint64_t Ticket, base::TimePoint Now) override;
-  void tick(base::TimePoint Now, std::vector<Wakeup> &Woken) override;
+  void tick(base::TimePoint Now, std::vector<Wakeup> &Wakeups) override;
 
 private:
   using ServicePointer = std::shared_ptr<ServiceSteering>;
@@ -115,10 +118,11 @@
   const SteeringSettings Settings_;
   RateTable Rates_;
   retrying::CrashSuspects Suspects_;
-  /// Guards all below; held for a look-up only.
+  /// Guards all members below; held only for look-ups and to add services.
   mutable std::mutex Lock_;
   std::shared_ptr<const settings::Intent> Intent_;
-  /// A ticket's low bits are an index into this; a service never leaves it.
+  /// The low bits of a ticket are an index into this vector; services are never
+  /// removed.
   std::vector<ServicePointer> Services_;
   std::vector<base::HostId> Peers_;
   std::uint64_t Epoch_ = 0;
--- a/libs/steering/RateTable.cpp
+++ b/libs/steering/RateTable.cpp
@@ -4,17 +4,21 @@
 
 namespace lychee::steering {
 
-double RateTable::shareOf(const Shard &Owner, const Bucket &Filled) noexcept {
-  return Filled.Share_.value_or(Owner.DefaultShare_);
+double RateTable::shareOf(const Shard &Owner,
+                          const Bucket &CustomerBucket) noexcept {
+  return CustomerBucket.Share_.value_or(Owner.DefaultShare_);
 }
 
-void RateTable::fill(const Shard &Owner, Bucket &Filled, base::TimePoint Now) {
-  const double Share = shareOf(Owner, Filled);
+void RateTable::refill(const Shard &Owner, Bucket &CustomerBucket,
+                       base::TimePoint Now) {
+  const double Share = shareOf(Owner, CustomerBucket);
   const double Gained =
-      base::toSeconds(std::max(Now - Filled.FilledAt_, base::Duration(0))) *
-      Filled.RatePerSecond_ * Share;
-  Filled.Tokens_ = std::min(Filled.Tokens_ + Gained, Filled.Burst_ * Share);
-  Filled.FilledAt_ = std::max(Filled.FilledAt_, Now);
+      base::toSeconds(
+          std::max(Now - CustomerBucket.RefilledAt_, base::Duration(0))) *
+      CustomerBucket.RatePerSecond_ * Share;
+  CustomerBucket.Tokens_ =
+      std::min(CustomerBucket.Tokens_ + Gained, CustomerBucket.Burst_ * Share);
+  CustomerBucket.RefilledAt_ = std::max(CustomerBucket.RefilledAt_, Now);
 }
 
 RateTable::Shard &
@@ -27,13 +31,13 @@
   for (const auto &[Id, Customer] : Intent.Customers_) {
     Shard &Owner = shardOf(Id);
     const std::scoped_lock Guard(Owner.Lock_);
-    const auto [Place, IsNew] = Owner.Buckets_.try_emplace(Id);
-    Bucket &Changed = Place->second;
+    const auto [Found, IsNew] = Owner.Buckets_.try_emplace(Id);
+    Bucket &CustomerBucket = Found->second;
     if (IsNew)
-      Changed.FilledAt_ = Now;
-    fill(Owner, Changed, Now);
-    Changed.RatePerSecond_ = Customer.RatePerSecond_;
-    Changed.Burst_ = Customer.Burst_;
+      CustomerBucket.RefilledAt_ = Now;
+    refill(Owner, CustomerBucket, Now);
+    CustomerBucket.RatePerSecond_ = Customer.RatePerSecond_;
+    CustomerBucket.Burst_ = Customer.Burst_;
   }
   for (Shard &Owner : Shards_) {
     const std::scoped_lock Guard(Owner.Lock_);
@@ -47,22 +51,22 @@
                          base::TimePoint Now) {
   Shard &Owner = shardOf(Customer);
   const std::scoped_lock Guard(Owner.Lock_);
-  const auto Place = Owner.Buckets_.find(Customer);
-  if (Place == Owner.Buckets_.end())
+  const auto Found = Owner.Buckets_.find(Customer);
+  if (Found == Owner.Buckets_.end())
     return;
-  fill(Owner, Place->second, Now);
-  Place->second.Share_ = Share;
-  fill(Owner, Place->second, Now);
+  refill(Owner, Found->second, Now);
+  Found->second.Share_ = Share;
+  refill(Owner, Found->second, Now);
 }
 
 void RateTable::setDefaultShare(double Share, base::TimePoint Now) {
   for (Shard &Owner : Shards_) {
     const std::scoped_lock Guard(Owner.Lock_);
-    for (auto &[Id, Filled] : Owner.Buckets_)
-      fill(Owner, Filled, Now);
+    for (auto &[Id, CustomerBucket] : Owner.Buckets_)
+      refill(Owner, CustomerBucket, Now);
     Owner.DefaultShare_ = Share;
-    for (auto &[Id, Filled] : Owner.Buckets_)
-      fill(Owner, Filled, Now);
+    for (auto &[Id, CustomerBucket] : Owner.Buckets_)
+      refill(Owner, CustomerBucket, Now);
   }
 }
 
@@ -70,20 +74,21 @@
                                               base::TimePoint Now) {
   Shard &Owner = shardOf(Customer);
   const std::scoped_lock Guard(Owner.Lock_);
-  const auto Place = Owner.Buckets_.find(Customer);
-  if (Place == Owner.Buckets_.end())
-    return LongestRetryAfter;
-  Bucket &Filled = Place->second;
-  fill(Owner, Filled, Now);
-  if (Filled.Tokens_ >= 1) {
-    Filled.Tokens_ -= 1;
+  const auto Found = Owner.Buckets_.find(Customer);
+  if (Found == Owner.Buckets_.end())
+    return MaxRetryAfter;
+  Bucket &CustomerBucket = Found->second;
+  refill(Owner, CustomerBucket, Now);
+  if (CustomerBucket.Tokens_ >= 1) {
+    CustomerBucket.Tokens_ -= 1;
     return std::nullopt;
   }
-  const double Rate = Filled.RatePerSecond_ * shareOf(Owner, Filled);
+  const double Rate =
+      CustomerBucket.RatePerSecond_ * shareOf(Owner, CustomerBucket);
   if (Rate <= 0)
-    return LongestRetryAfter;
-  return std::min(base::fromSeconds((1 - Filled.Tokens_) / Rate),
-                  LongestRetryAfter);
+    return MaxRetryAfter;
+  return std::min(base::fromSeconds((1 - CustomerBucket.Tokens_) / Rate),
+                  MaxRetryAfter);
 }
 
 } // namespace lychee::steering
--- a/libs/steering/RateTable.h
+++ b/libs/steering/RateTable.h
@@ -10,40 +10,41 @@
 
 namespace lychee::steering {
 
-/// This host's part of each customer's rate and burst, as token buckets in
-/// shards by customer, each shard under its own lock.
+/// This host's share of each customer's rate and burst, as token buckets
+/// sharded by customer, with one lock per shard.
 ///
-/// Load pattern: one customer sends several times its rate. Without the check
-/// its requests take the slots that others paid for.
+/// Load pattern: one customer sends several times its rate. Without this check
+/// its requests take the slots that other customers paid for.
 class RateTable {
 public:
   RateTable() = default;
   RateTable(const RateTable &) = delete;
   RateTable &operator=(const RateTable &) = delete;
 
-  /// Takes over rates and bursts; tokens that stand are kept, up to the burst.
+  /// Applies rates and bursts; existing tokens are kept, up to the burst.
   void applyIntent(const settings::Intent &Intent, base::TimePoint Now);
 
   void setShare(const base::CustomerId &Customer, double Share,
                 base::TimePoint Now);
   void setDefaultShare(double Share, base::TimePoint Now);
 
-  /// Takes one token. \returns nothing where it was there, else the time after
-  /// which one will be.
+  /// Takes one token. \returns nothing where one was available, else the time
+  /// until one is.
   std::optional<base::Duration> take(const base::CustomerId &Customer,
                                      base::TimePoint Now);
 
 private:
   static constexpr std::size_t ShardCount = 16;
-  /// A customer without any rate is told to come back after this.
-  static constexpr base::Duration LongestRetryAfter = std::chrono::seconds(60);
+  /// Upper bound of the retry time, and the retry time of a customer without
+  /// any rate.
+  static constexpr base::Duration MaxRetryAfter = std::chrono::seconds(60);
 
   struct Bucket {
     double RatePerSecond_ = 0;
     double Burst_ = 0;
     std::optional<double> Share_;
     double Tokens_ = 0;
-    base::TimePoint FilledAt_;
+    base::TimePoint RefilledAt_;
   };
   struct Shard {
     std::mutex Lock_;
@@ -51,8 +52,10 @@
     double DefaultShare_ = 1;
   };
 
-  static double shareOf(const Shard &Owner, const Bucket &Filled) noexcept;
-  static void fill(const Shard &Owner, Bucket &Filled, base::TimePoint Now);
+  static double shareOf(const Shard &Owner,
+                        const Bucket &CustomerBucket) noexcept;
+  static void refill(const Shard &Owner, Bucket &CustomerBucket,
+                     base::TimePoint Now);
   Shard &shardOf(const base::CustomerId &Customer) noexcept;
 
   std::array<Shard, ShardCount> Shards_;
--- a/libs/steering/ServicePeers.cpp
+++ b/libs/steering/ServicePeers.cpp
@@ -1,4 +1,4 @@
-// What a service at one host hears from peers and targets, and tells them.
+// Exchange of one service's state with peers and targets.
 #include "steering/ServiceSteering.h"
 
 #include <algorithm>
@@ -12,36 +12,36 @@
     Pool->targets().setPeers(Peers);
 }
 
-void ServiceSteering::addRound(HostLoadUpdate &Round,
-                               base::TimePoint Now) const {
+void ServiceSteering::addLoadUpdate(HostLoadUpdate &Update,
+                                    base::TimePoint Now) const {
   const std::scoped_lock Guard(Lock_);
   for (const auto &[Id, Pool] : Pools_) {
-    if (Pool->divides()) {
-      Round.SpareSlots_.push_back(
-          {Service_, Id, Pool->spare(Now), Pool->targets().ownInFlightTotal()});
+    if (Pool->dividesSlots()) {
+      Update.SpareSlots_.push_back({Service_, Id, Pool->freeSlots(Now),
+                                    Pool->targets().ownInFlightTotal()});
       continue;
     }
     for (const placement::InFlight &Own : Pool->targets().ownInFlight())
-      Round.Loads_.push_back(
+      Update.Loads_.push_back(
           {Service_, Pool->targets().idOf(Own.Target_), Own.Count_});
   }
 }
 
-void ServiceSteering::heardRound(const HostLoadUpdate &Round,
-                                 base::TimePoint Now) {
+void ServiceSteering::receiveLoadUpdate(const HostLoadUpdate &Update,
+                                        base::TimePoint Now) {
   const std::scoped_lock Guard(Lock_);
   for (const auto &[Id, Pool] : Pools_) {
     std::vector<placement::InFlight> Counts;
-    for (const PeerLoad &Load : Round.Loads_)
+    for (const PeerLoad &Load : Update.Loads_)
       if (Load.Service_ == Service_)
         if (const auto Target = Pool->targets().indexOf(Load.Target_))
           Counts.push_back({*Target, Load.InFlight_});
-    Pool->targets().recordPeerLoads(Round.Host_, Counts, Now);
+    Pool->targets().recordPeerLoads(Update.Host_, Counts, Now);
   }
-  for (const SpareSlots &Told : Round.SpareSlots_)
-    if (RegionPool *Pool = poolOf(Told.Region_))
-      if (Told.Service_ == Service_)
-        Pool->heardSpare(Round.Host_, Told, Now);
+  for (const SpareSlots &Spare : Update.SpareSlots_)
+    if (RegionPool *Pool = poolOf(Spare.Region_))
+      if (Spare.Service_ == Service_)
+        Pool->receiveSpareSlots(Update.Host_, Spare, Now);
 }
 
 void ServiceSteering::enterEpoch(std::uint64_t Epoch,
@@ -65,43 +65,45 @@
     Pool->settle(Epoch);
 }
 
-bool ServiceSteering::fits() const {
+bool ServiceSteering::conformsToEpoch() const {
   const std::scoped_lock Guard(Lock_);
-  return std::ranges::all_of(
-      Pools_, [](const auto &Each) { return Each.second->fits(); });
+  return std::ranges::all_of(Pools_, [](const auto &Entry) {
+    return Entry.second->conformsToEpoch();
+  });
 }
 
-void ServiceSteering::addAsks(std::vector<SlotRequest> &Asks,
-                              base::TimePoint Now) {
+void ServiceSteering::addSlotRequests(std::vector<SlotRequest> &Requests,
+                                      base::TimePoint Now) {
   const std::scoped_lock Guard(Lock_);
-  const std::size_t Before = Asks.size();
+  const std::size_t Before = Requests.size();
   for (const auto &[Id, Pool] : Pools_)
-    Pool->addAsks(Asks, Now);
-  for (std::size_t Place = Before; Place < Asks.size(); ++Place) {
-    Asks[Place].Service_ = Service_;
-    Asks[Place].RequesterRegion_ = Context_.Region_;
+    Pool->addSlotRequests(Requests, Now);
+  for (std::size_t Index = Before; Index < Requests.size(); ++Index) {
+    Requests[Index].Service_ = Service_;
+    Requests[Index].RequesterRegion_ = Context_.Region_;
   }
 }
 
-std::vector<SlotCount> ServiceSteering::giveSlots(const SlotRequest &Asked,
-                                                  base::TimePoint Now) {
+std::vector<SlotCount> ServiceSteering::grantSlots(const SlotRequest &Request,
+                                                   base::TimePoint Now) {
   const std::scoped_lock Guard(Lock_);
-  RegionPool *Pool = poolOf(Asked.Region_);
-  return Pool ? Pool->give(Asked, Now) : std::vector<SlotCount>{};
+  RegionPool *Pool = poolOf(Request.Region_);
+  return Pool ? Pool->grant(Request, Now) : std::vector<SlotCount>{};
 }
 
-void ServiceSteering::acceptSlots(const SlotGrant &Gift, base::TimePoint Now,
-                                  std::vector<Wakeup> &Woken) {
+void ServiceSteering::acceptSlots(const SlotGrant &Grant, base::TimePoint Now,
+                                  std::vector<Wakeup> &Wakeups) {
   const std::scoped_lock Guard(Lock_);
-  RegionPool *Pool = poolOf(Gift.Region_);
-  if (!Pool || !Pool->accept(Gift.Donor_, Gift.Counts_))
+  RegionPool *Pool = poolOf(Grant.Region_);
+  if (!Pool || !Pool->acceptGrants(Grant.Donor_, Grant.Counts_))
     return;
-  letWaitingGo(Now, Woken);
-  spillWaiting(Now, Woken);
+  resumeWaiting(Now, Wakeups);
+  spillWaiting(Now, Wakeups);
 }
 
-void ServiceSteering::reported(const base::TargetId &Target, std::uint32_t Load,
-                               base::TimePoint MeasuredAt) {
+void ServiceSteering::reportTargetLoad(const base::TargetId &Target,
+                                       std::uint32_t Load,
+                                       base::TimePoint MeasuredAt) {
   const std::scoped_lock Guard(Lock_);
   for (const auto &[Id, Pool] : Pools_)
     if (const auto Index = Pool->targets().indexOf(Target))
--- a/libs/steering/ServicePlacement.cpp
+++ b/libs/steering/ServicePlacement.cpp
@@ -8,13 +8,13 @@
 
 using Trust = placement::PoolState::Trust;
 
-/// Share of a region's slots that work steered in from elsewhere leaves free:
-/// the region's own callers come at random, and each slot that steered work
-/// takes beyond this makes one of them wait.
+/// Share of a region's slots that requests steered in from other regions leave
+/// free: the region's own callers arrive at random times, and each slot that
+/// steered requests take beyond this makes one of them wait.
 constexpr double ReservedForOwnCallers = 0.1;
 
-/// Round trip between two regions without a declared link: long, so that such
-/// a region comes last.
+/// Assumed round trip between two regions without a declared link: long, so
+/// that such a region comes last.
 constexpr base::Duration UnknownRoundTrip = std::chrono::milliseconds(200);
 
 } // namespace
@@ -32,10 +32,10 @@
   return Known == RoundTrips_.end() ? UnknownRoundTrip : Known->second;
 }
 
-RegionPool *ServiceSteering::homeOf(const Pending &Wanted,
-                                    base::TimePoint Now) {
+RegionPool *ServiceSteering::homePool(const PendingRequest &Pending,
+                                      base::TimePoint Now) {
   RegionPool *Lost = nullptr;
-  for (const base::RegionId &Region : Wanted.Request_.PreferredRegions_) {
+  for (const base::RegionId &Region : Pending.Request_.PreferredRegions_) {
     RegionPool *Pool = poolOf(Region);
     if (!Pool)
       continue;
@@ -49,11 +49,11 @@
 }
 
 placement::TargetChoice ServiceSteering::choose(RegionPool &Pool,
-                                                const Pending &Wanted,
+                                                const PendingRequest &Pending,
                                                 base::TimePoint Now) {
   std::span<const placement::TargetIndex> Excluded;
-  if (Wanted.Sends_ > 0 && Wanted.Pool_ == &Pool)
-    Excluded = {&Wanted.SentTo_, 1};
+  if (Pending.Sends_ > 0 && Pending.Pool_ == &Pool)
+    Excluded = {&Pending.SentTo_, 1};
   return Pool.targets().choose(Excluded, Now, Random_);
 }
 
@@ -63,47 +63,46 @@
   return State.InFlight_ + 1 <= (1 - ReservedForOwnCallers) * State.Slots_;
 }
 
-std::optional<ServiceSteering::Found>
-ServiceSteering::elsewhere(const Pending &Wanted, RegionPool &Home,
-                           base::Duration Wait, base::TimePoint Now,
-                           std::string_view &Why) {
-  std::vector<Found> Places{{&Home, {}}};
+std::optional<ServiceSteering::PoolChoice> ServiceSteering::chooseOtherRegion(
+    const PendingRequest &Pending, RegionPool &Home, base::Duration Wait,
+    base::TimePoint Now, std::string_view &ReasonText) {
+  std::vector<PoolChoice> Choices{{&Home, {}}};
   std::vector<placement::RegionOption> Options(1);
   Options.front().UsableTargets_ = Home.targets().state(Now).UsableTargets_;
   Options.front().ExpectedWait_ = Wait;
-  for (const base::RegionId &Region : Wanted.Request_.PreferredRegions_) {
+  for (const base::RegionId &Region : Pending.Request_.PreferredRegions_) {
     RegionPool *Pool = poolOf(Region);
     if (!Pool || Pool == &Home)
       continue;
-    Found Place{Pool, {}};
+    PoolChoice Candidate{Pool, {}};
     placement::RegionOption Option;
     Option.UsableTargets_ = Pool->targets().state(Now).UsableTargets_;
     Option.RoundTrip_ = roundTrip(Home.region(), Region);
-    // Where slots are divided, those that this host holds there are its part
-    // of the region's headroom.
-    Option.HasHeadroom_ = Pool->divides() || hasHeadroom(*Pool, Now);
-    if (Option.HasHeadroom_ && Pool->line().queued() == 0)
-      Place.Choice_ = choose(*Pool, Wanted, Now);
-    Option.HasFreeSlot_ = Place.Choice_.Target_.has_value();
+    // Where slots are divided, the slots that this host holds there are its
+    // share of the region's headroom.
+    Option.HasHeadroom_ = Pool->dividesSlots() || hasHeadroom(*Pool, Now);
+    if (Option.HasHeadroom_ && Pool->admission().queued() == 0)
+      Candidate.Choice_ = choose(*Pool, Pending, Now);
+    Option.HasFreeSlot_ = Candidate.Choice_.Target_.has_value();
     const bool WorthIt =
         Wait > placement::RegionChooser::WaitFactor * Option.RoundTrip_;
-    if (!Option.HasFreeSlot_ && Pool->divides() && WorthIt)
-      Pool->want(1);
-    Places.push_back(Place);
+    if (!Option.HasFreeSlot_ && Pool->dividesSlots() && WorthIt)
+      Pool->setSpillDemand(1);
+    Choices.push_back(Candidate);
     Options.push_back(Option);
   }
   const placement::RegionChoice Chosen =
       placement::RegionChooser::choose(Options);
-  Why = Chosen.Reason_;
+  ReasonText = Chosen.Reason_;
   if (!Chosen.Region_ || *Chosen.Region_ == 0)
     return std::nullopt;
-  return Places[*Chosen.Region_];
+  return Choices[*Chosen.Region_];
 }
 
 void ServiceSteering::spillWaiting(base::TimePoint Now,
-                                   std::vector<Wakeup> &Woken) {
+                                   std::vector<Wakeup> &Wakeups) {
   for (const auto &[HomeId, Home] : Pools_) {
-    if (Home->line().queued() == 0)
+    if (Home->admission().queued() == 0)
       continue;
     std::vector<RegionPool *> Others;
     for (const auto &[Id, Pool] : Pools_)
@@ -113,45 +112,47 @@
       return roundTrip(HomeId, Pool->region());
     });
     for (RegionPool *Other : Others)
-      spillFrom(*Home, *Other, Now, Woken);
+      spillFrom(*Home, *Other, Now, Wakeups);
   }
 }
 
 void ServiceSteering::spillFrom(RegionPool &Home, RegionPool &Other,
                                 base::TimePoint Now,
-                                std::vector<Wakeup> &Woken) {
-  /// Most slots that one look asks for; the next look is a tick away.
-  constexpr std::size_t MostWanted = 8;
+                                std::vector<Wakeup> &Wakeups) {
+  /// Maximum number of slots requested per call; the next call is one tick
+  /// away.
+  constexpr std::size_t MaxSlotsPerCall = 8;
   const base::Duration WorthIt = placement::RegionChooser::WaitFactor *
                                  roundTrip(Home.region(), Other.region());
   const auto Wait = [&] {
-    return Home.line().expectedWork() * Home.line().queued() /
-           std::max(1U, Home.line().running());
+    return Home.admission().expectedWork() * Home.admission().queued() /
+           std::max(1U, Home.admission().running());
   };
-  std::vector<admission::DroppedRequest> Left;
-  while (Wait() > WorthIt && Other.line().queued() == 0) {
-    if (!Other.divides() && !hasHeadroom(Other, Now))
+  std::vector<admission::DroppedRequest> Expired;
+  while (Wait() > WorthIt && Other.admission().queued() == 0) {
+    if (!Other.dividesSlots() && !hasHeadroom(Other, Now))
       break;
-    Found Where{&Other, Other.targets().choose({}, Now, Random_)};
-    if (!Where.Choice_.Target_)
+    PoolChoice Chosen{&Other, Other.targets().choose({}, Now, Random_)};
+    if (!Chosen.Choice_.Target_)
       break;
-    const auto Next = Home.line().dequeue(Now, Left);
+    const auto Next = Home.admission().dequeue(Now, Expired);
     if (!Next)
       break;
-    Pending &First = Pending_.at(Next->Ticket_);
-    // It waited here and will run there: this line is charged nothing.
-    Home.line().recordCompletion(Next->Customer_, Next->Caller_, Next->Work_,
-                                 {}, false, Now);
+    PendingRequest &First = Pending_.at(Next->Ticket_);
+    // The request leaves this region's queue for another region, so this queue
+    // is charged nothing.
+    Home.admission().recordCompletion(Next->Customer_, Next->Caller_,
+                                      Next->Work_, {}, false, Now);
     const auto Verdict =
-        enterElsewhere(Next->Ticket_, First, Where, Now, "spill-waited");
-    Woken.push_back({Next->Ticket_, Verdict});
+        admitElsewhere(Next->Ticket_, First, Chosen, Now, "spill-waited");
+    Wakeups.push_back({Next->Ticket_, Verdict});
     if (Verdict.Action_ == Decision::Action::Refuse)
       Pending_.erase(Next->Ticket_);
   }
-  giveUp(Left, Woken);
-  if (Other.divides() && Wait() > WorthIt)
-    Other.want(
-        static_cast<std::uint32_t>(std::min(MostWanted, Home.line().queued())));
+  refuseExpired(Expired, Wakeups);
+  if (Other.dividesSlots() && Wait() > WorthIt)
+    Other.setSpillDemand(static_cast<std::uint32_t>(
+        std::min(MaxSlotsPerCall, Home.admission().queued())));
 }
 
 } // namespace lychee::steering
--- a/libs/steering/ServiceShifting.cpp
+++ b/libs/steering/ServiceShifting.cpp
@@ -1,4 +1,4 @@
-// Shift plans of a service at one host.
+// Shift plans of one service at one host.
 #include "steering/ServiceSteering.h"
 
 #include <algorithm>
@@ -10,7 +10,8 @@
 
 using State = shifting::ShiftPlan::State;
 
-/// How often plans are stepped; their paces are seconds at the least.
+/// Interval between steps of the plans; their own step intervals are seconds at
+/// the least.
 constexpr base::Duration StepInterval = std::chrono::milliseconds(500);
 
 State stateOf(settings::ShiftPlan::State Declared) noexcept {
@@ -25,7 +26,7 @@
   return State::Held;
 }
 
-shifting::ShiftPlan beginning(const settings::ShiftPlan &Declared) {
+shifting::ShiftPlan initialPlan(const settings::ShiftPlan &Declared) {
   shifting::ShiftPlan Plan;
   Plan.Id_ = Declared.Id_;
   Plan.From_ = Declared.From_;
@@ -37,14 +38,14 @@
   return Plan;
 }
 
-shifting::ShiftPlan acted(const shifting::ShiftPlan &Plan, State Wanted,
-                          base::WallPoint Wall) {
-  if (Plan.State_ == Wanted)
+shifting::ShiftPlan withState(const shifting::ShiftPlan &Plan, State NewState,
+                              base::WallPoint Wall) {
+  if (Plan.State_ == NewState)
     return Plan;
-  if (Wanted == State::Running)
+  if (NewState == State::Running)
     return shifting::resumePlan(Plan, Wall);
-  return Wanted == State::Held ? shifting::holdPlan(Plan, Wall)
-                               : shifting::abortPlan(Plan, Wall);
+  return NewState == State::Held ? shifting::holdPlan(Plan, Wall)
+                                 : shifting::abortPlan(Plan, Wall);
 }
 
 } // namespace
@@ -57,34 +58,35 @@
 void ServiceSteering::setPlans(const settings::Intent &Intent,
                                base::TimePoint Now) {
   const base::WallPoint Wall(Now.time_since_epoch() + WallOffset_);
-  const auto Old = std::exchange(Plans_, {});
+  const auto Old = std::exchange(PlanStates_, {});
   std::vector<shifting::ShiftPlan> Plans;
   for (const auto &[Id, Declared] : Intent.Plans_) {
     if (Declared.Service_ != Service_)
       continue;
     const auto Known = Old.find(Id);
-    shifting::ShiftPlan Plan = beginning(Declared);
+    shifting::ShiftPlan Plan = initialPlan(Declared);
     if (Known != Old.end()) {
       Plan.State_ = Known->second.State_;
       Plan.StateSince_ = Known->second.StateSince_;
       Plan.ReachedShare_ = Known->second.ReachedShare_;
     }
-    Plans.push_back(acted(Plan, stateOf(Declared.State_), Wall));
-    Plans_[Id] = Plans.back();
+    Plans.push_back(withState(Plan, stateOf(Declared.State_), Wall));
+    PlanStates_[Id] = Plans.back();
   }
-  Shifts_.setPlans(Plans);
+  ShiftPlans_.setPlans(Plans);
 }
 
-RegionPool *ServiceSteering::shiftedHome(Pending &Wanted, RegionPool &Home,
+RegionPool *ServiceSteering::applyShifts(PendingRequest &Pending,
+                                         RegionPool &Home,
                                          base::TimePoint Now) {
-  if (Shifts_.empty() || Wanted.Sends_ > 0)
+  if (ShiftPlans_.empty() || Pending.Sends_ > 0)
     return &Home;
-  const shifting::ShiftChoice Chosen = Shifts_.route(
-      Wanted.Request_.CallerHash_, Home.region(),
+  const shifting::ShiftChoice Chosen = ShiftPlans_.route(
+      Pending.Request_.CallerHash_, Home.region(),
       [&](const base::RegionId &Region) { return takeHeadroom(Region, Now); });
   RegionPool *Moved = poolOf(Chosen.Region_);
-  Wanted.Shifted_ = Moved && !Chosen.Plan_.empty();
-  return Wanted.Shifted_ ? Moved : &Home;
+  Pending.IsShifted_ = Moved && !Chosen.Plan_.empty();
+  return Pending.IsShifted_ ? Moved : &Home;
 }
 
 bool ServiceSteering::takeHeadroom(const base::RegionId &Region,
@@ -92,48 +94,51 @@
   RegionPool *Pool = poolOf(Region);
   if (!Pool)
     return false;
-  if (!Pool->divides())
+  if (!Pool->dividesSlots())
     return hasHeadroom(*Pool, Now);
-  if (Pool->spare(Now) > 0 && Pool->line().queued() == 0)
+  if (Pool->freeSlots(Now) > 0 && Pool->admission().queued() == 0)
     return true;
-  // The slot comes for the next request of a moved caller.
-  Pool->want(1);
+  // The requested slot serves the next request of a moved caller.
+  Pool->setSpillDemand(1);
   return false;
 }
 
-shifting::RegionsView ServiceSteering::viewOf(const base::RegionId &Receiver,
-                                              const base::RegionId &Sender,
-                                              base::TimePoint Now) {
+shifting::RegionsView
+ServiceSteering::regionsView(const base::RegionId &Receiver,
+                             const base::RegionId &Sender,
+                             base::TimePoint Now) {
   shifting::RegionsView View;
   const RegionPool *To = poolOf(Receiver);
   const RegionPool *From = poolOf(Sender);
   if (!To || !From)
     return View;
   View.MeasuredAt_ = Now;
-  const placement::PoolState There = To->targets().state(Now);
-  const placement::PoolState Here = From->targets().state(Now);
-  if (To->divides()) {
-    View.ReceiverFreeSlots_ = To->spare(Now) + To->peersSpare();
-    View.MeasuredAt_ = To->spareHeardAt();
+  const placement::PoolState ReceiverState = To->targets().state(Now);
+  const placement::PoolState SenderState = From->targets().state(Now);
+  if (To->dividesSlots()) {
+    View.ReceiverFreeSlots_ = To->freeSlots(Now) + To->peersFreeSlots();
+    View.MeasuredAt_ = To->peersFreeSlotsAt();
     View.CallersSlots_ =
-        Here.Slots_ -
-        std::min<double>(Here.Slots_, From->spare(Now) + From->peersSpare());
+        SenderState.Slots_ -
+        std::min<double>(SenderState.Slots_,
+                         From->freeSlots(Now) + From->peersFreeSlots());
   } else {
-    View.ReceiverFreeSlots_ = std::max(0.0, There.Slots_ - There.InFlight_);
-    View.CallersSlots_ = Here.InFlight_;
+    View.ReceiverFreeSlots_ =
+        std::max(0.0, ReceiverState.Slots_ - ReceiverState.InFlight_);
+    View.CallersSlots_ = SenderState.InFlight_;
   }
   View.ColdFactor_ = ColdCosts_[Receiver].factor(Now);
   return View;
 }
 
-void ServiceSteering::stepShifts(base::TimePoint Now) {
-  if (Shifts_.empty() || Now - LastShiftStep_ < StepInterval)
+void ServiceSteering::stepShiftPlans(base::TimePoint Now) {
+  if (ShiftPlans_.empty() || Now - LastShiftStep_ < StepInterval)
     return;
   LastShiftStep_ = Now;
   const base::WallPoint Wall(Now.time_since_epoch() + WallOffset_);
-  Shifts_.tick(
+  ShiftPlans_.tick(
       [&](const base::RegionId &Receiver, const base::RegionId &Sender) {
-        return viewOf(Receiver, Sender, Now);
+        return regionsView(Receiver, Sender, Now);
       },
       Now, Wall);
 }
--- a/libs/steering/ServiceSteering.cpp
+++ b/libs/steering/ServiceSteering.cpp
@@ -8,14 +8,15 @@
 
 namespace {
 
-/// Bits of a ticket that name the service.
+/// Number of low bits of a ticket that identify the service.
 constexpr unsigned IndexBits = 16;
-/// How often medians and ejections are brought up to date.
+/// Interval between updates of medians and home slots.
 constexpr base::Duration UpkeepInterval = std::chrono::milliseconds(100);
-/// Under saturation a wait may last this many ordinary requests: what
-/// AdmissionControl's own bound is for work of 20 ms. A bound below the work's
-/// own length refuses at ordinary load what waits for one slot to end.
-constexpr int ShortWaitInWorks = 10;
+/// Under saturation a wait may last this many ordinary requests, which equals
+/// AdmissionControl's own bound for requests of 20 ms. A bound shorter than one
+/// request would refuse, at ordinary load, requests that only wait for one slot
+/// to become free.
+constexpr int MaxWaitInExpectedWork = 10;
 
 using AdmissionAction = admission::AdmissionDecision::Action;
 
@@ -37,12 +38,12 @@
   return Refusal::QueueFull;
 }
 
-/// What the end of a send says of the target's health.
+/// Maps the end of a send to evidence of the target's health.
 placement::Outcome outcomeOf(const SendReport &Report,
                              base::Duration ExpectedWork) noexcept {
-  /// A send that was given up after this many times its expected work speaks
-  /// against its target; one given up sooner was short of time.
-  constexpr int TellingWaits = 5;
+  /// A send that was cancelled after more than this many times its expected
+  /// work counts against the target; one cancelled sooner was short of time.
+  constexpr int FaultyWorkFactor = 5;
   constexpr int FirstServerError = 500;
   switch (Report.Outcome_) {
   case SendOutcome::Answered:
@@ -58,7 +59,7 @@
   case SendOutcome::ResponseInvalid:
     return placement::Outcome::Faulty;
   case SendOutcome::Cancelled:
-    return Report.Took_ > ExpectedWork * TellingWaits
+    return Report.Took_ > ExpectedWork * FaultyWorkFactor
                ? placement::Outcome::Faulty
                : placement::Outcome::Cancelled;
   case SendOutcome::ClosedBeforeWrite:
@@ -96,7 +97,7 @@
       Limits.ExpectedWork_ = Known->second.ExpectedWork_;
       Limits.SaturatedMaxWait_ =
           std::max(Limits.SaturatedMaxWait_,
-                   ShortWaitInWorks * Known->second.ExpectedWork_);
+                   MaxWaitInExpectedWork * Known->second.ExpectedWork_);
       std::ranges::copy_if(
           Known->second.Targets_, std::back_inserter(Here),
           [&Zones = Region.Zones_](const settings::Target &Target) {
@@ -116,11 +117,11 @@
   setPlans(Intent, Now);
 }
 
-Decision ServiceSteering::arrive(const Request &Arrived,
+Decision ServiceSteering::arrive(const Request &NewRequest,
                                  const admission::RateCheck &Rate,
                                  base::TimePoint Now) {
   const base::TimePoint SuspectUntil =
-      Context_.Suspects_->suspectUntil(Arrived.Fingerprint_, Now);
+      Context_.Suspects_->suspectUntil(NewRequest.Fingerprint_, Now);
   const std::scoped_lock Guard(Lock_);
   if (SuspectUntil > Now) {
     Decision Refused = refuse(Refusal::CrashSuspect, Ran::No);
@@ -128,195 +129,206 @@
     return Refused;
   }
   const std::uint64_t Ticket = (++LastSerial_ << IndexBits) | Index_;
-  Pending &Wanted = Pending_[Ticket];
-  Wanted.Request_ = Arrived;
+  PendingRequest &Pending = Pending_[Ticket];
+  Pending.Request_ = NewRequest;
   // The views point into the caller's header, which may be gone before a
-  // waiting request is looked at again.
-  Wanted.Request_.Method_ = {};
-  Wanted.Request_.Path_ = {};
-  if (!Rate.Allowed_ && mayWaitForRate(Arrived))
-    return holdForRate(Ticket, Wanted, Now);
-  Decision Taken = enter(Ticket, Wanted, Rate, Now);
-  if (Taken.Action_ == Decision::Action::Refuse)
+  // waiting request is resumed.
+  Pending.Request_.Method_ = {};
+  Pending.Request_.Path_ = {};
+  if (!Rate.Allowed_ && mayWaitForRate(NewRequest))
+    return waitForRate(Ticket, Pending, Now);
+  Decision Result = admit(Ticket, Pending, Rate, Now);
+  if (Result.Action_ == Decision::Action::Refuse)
     Pending_.erase(Ticket);
-  return Taken;
+  return Result;
 }
 
-Decision ServiceSteering::enter(std::uint64_t Ticket, Pending &Wanted,
+Decision ServiceSteering::admit(std::uint64_t Ticket, PendingRequest &Pending,
                                 const admission::RateCheck &Rate,
                                 base::TimePoint Now) {
-  RegionPool *Home = homeOf(Wanted, Now);
+  RegionPool *Home = homePool(Pending, Now);
   if (Home && Rate.Allowed_)
-    Home = shiftedHome(Wanted, *Home, Now);
+    Home = applyShifts(Pending, *Home, Now);
   const auto Customer =
-      Home ? Home->customer(Wanted.Request_.Customer_) : std::nullopt;
+      Home ? Home->customerIndex(Pending.Request_.Customer_) : std::nullopt;
   if (!Customer)
-    return refuse(Refusal::NoHealthyTarget, ranOf(Wanted.MayHaveRun_));
-  Wanted.Customer_ = *Customer;
+    return refuse(Refusal::NoHealthyTarget, ranOf(Pending.MayHaveRun_));
+  Pending.Customer_ = *Customer;
   admission::AdmissionRequest Arrival;
   Arrival.Ticket_ = Ticket;
   Arrival.Customer_ = *Customer;
-  Arrival.Caller_ = Wanted.Request_.CallerHash_;
-  Arrival.Deadline_ = Wanted.Request_.Deadline_;
+  Arrival.Caller_ = Pending.Request_.CallerHash_;
+  Arrival.Deadline_ = Pending.Request_.Deadline_;
   Arrival.Rate_ = Rate;
-  Found Near{Home, {}};
+  PoolChoice HomeChoice{Home, {}};
   if (Rate.Allowed_)
-    Near.Choice_ = choose(*Home, Wanted, Now);
-  if (!payForResend(Wanted, Near, Now))
-    return refuse(Refusal::TargetFailed, ranOf(Wanted.MayHaveRun_),
+    HomeChoice.Choice_ = choose(*Home, Pending, Now);
+  if (!spendRetryBudget(Pending, HomeChoice, Now))
+    return refuse(Refusal::TargetFailed, ranOf(Pending.MayHaveRun_),
                   "retry-budget");
-  Arrival.HasCapacity_ = Near.Choice_.Target_.has_value();
-  const admission::AdmissionDecision Verdict = Home->line().admit(Arrival, Now);
-  Wanted.Charged_ = Verdict.ExpectedWork_;
+  Arrival.HasCapacity_ = HomeChoice.Choice_.Target_.has_value();
+  const admission::AdmissionDecision Verdict =
+      Home->admission().admit(Arrival, Now);
+  Pending.ChargedWork_ = Verdict.ExpectedWork_;
   if (Verdict.Action_ == AdmissionAction::Admit)
-    return send(Ticket, Wanted, Near, Wanted.Shifted_ ? "shift" : "nearest");
+    return send(Ticket, Pending, HomeChoice,
+                Pending.IsShifted_ ? "shift" : "nearest");
   const bool Waits = Verdict.Action_ == AdmissionAction::Wait;
-  const bool Hopeless =
+  const bool IsFinal =
       Verdict.Reason_ == admission::RefusalReason::RateLimited ||
       Verdict.Reason_ == admission::RefusalReason::DeadlineTooShort;
-  if (!Waits && Hopeless)
-    return refuse(Wanted, Verdict);
+  if (!Waits && IsFinal)
+    return refuse(Pending, Verdict);
   const base::Duration Wait =
       Waits ? Verdict.ExpectedWait_ : Arrival.Deadline_ - Now;
-  std::string_view Why;
-  const auto Other = elsewhere(Wanted, *Home, Wait, Now, Why);
+  std::string_view ReasonText;
+  const auto Other = chooseOtherRegion(Pending, *Home, Wait, Now, ReasonText);
   if (Other) {
     if (Waits)
-      Home->line().cancel(Verdict.Position_);
-    return enterElsewhere(Ticket, Wanted, *Other, Now, Why);
+      Home->admission().cancel(Verdict.Position_);
+    return admitElsewhere(Ticket, Pending, *Other, Now, ReasonText);
   }
   if (!Waits)
-    return refuse(Wanted, Verdict);
-  Wanted.Pool_ = Home;
-  Wanted.Place_ = Verdict.Position_;
-  return hold(Ticket, Wanted);
+    return refuse(Pending, Verdict);
+  Pending.Pool_ = Home;
+  Pending.QueuePosition_ = Verdict.Position_;
+  return makeWaitDecision(Ticket, Pending);
 }
 
-Decision ServiceSteering::enterElsewhere(std::uint64_t Ticket, Pending &Wanted,
-                                         const Found &Where,
+Decision ServiceSteering::admitElsewhere(std::uint64_t Ticket,
+                                         PendingRequest &Pending,
+                                         const PoolChoice &Chosen,
                                          base::TimePoint Now,
-                                         std::string_view Why) {
-  Wanted.Shifted_ = false;
-  Wanted.Customer_ = Where.Pool_->customer(Wanted.Request_.Customer_)
-                         .value_or(Wanted.Customer_);
+                                         std::string_view ReasonText) {
+  Pending.IsShifted_ = false;
+  Pending.Customer_ = Chosen.Pool_->customerIndex(Pending.Request_.Customer_)
+                          .value_or(Pending.Customer_);
   admission::AdmissionRequest Arrival;
   Arrival.Ticket_ = Ticket;
-  Arrival.Customer_ = Wanted.Customer_;
-  Arrival.Caller_ = Wanted.Request_.CallerHash_;
-  Arrival.Deadline_ = Wanted.Request_.Deadline_;
+  Arrival.Customer_ = Pending.Customer_;
+  Arrival.Caller_ = Pending.Request_.CallerHash_;
+  Arrival.Deadline_ = Pending.Request_.Deadline_;
   Arrival.HasCapacity_ = true;
-  const auto Verdict = Where.Pool_->line().admit(Arrival, Now);
-  Wanted.Charged_ = Verdict.ExpectedWork_;
+  const auto Verdict = Chosen.Pool_->admission().admit(Arrival, Now);
+  Pending.ChargedWork_ = Verdict.ExpectedWork_;
   if (Verdict.Action_ == AdmissionAction::Admit)
-    return send(Ticket, Wanted, Where, Why);
-  return refuse(Wanted, Verdict);
+    return send(Ticket, Pending, Chosen, ReasonText);
+  return refuse(Pending, Verdict);
 }
 
-bool ServiceSteering::payForResend(const Pending &Wanted, const Found &Near,
-                                   base::TimePoint Now) {
-  if (Wanted.Sends_ == 0)
+bool ServiceSteering::spendRetryBudget(const PendingRequest &Pending,
+                                       const PoolChoice &HomeChoice,
+                                       base::TimePoint Now) {
+  if (Pending.Sends_ == 0)
     return true;
-  // The target's budget keeps one that comes back from taking all second
-  // sends; one that waits in line finds its target later.
-  if (!Near.Choice_.Target_)
+  // The target's budget keeps a target that recovers from taking all retries. A
+  // request that waits in the queue is assigned a target later, so only the
+  // service's budget applies.
+  if (!HomeChoice.Choice_.Target_)
     return Retries_.spend(Now);
   return retrying::RetryBudget::spendBoth(
-      Retries_, Near.Pool_->retries(*Near.Choice_.Target_), Now);
+      Retries_, HomeChoice.Pool_->retryBudget(*HomeChoice.Choice_.Target_),
+      Now);
 }
 
-Decision ServiceSteering::send(std::uint64_t Ticket, Pending &Wanted,
-                               const Found &Where, std::string_view Why) {
-  assert(Where.Choice_.Target_.has_value() &&
+Decision ServiceSteering::send(std::uint64_t Ticket, PendingRequest &Pending,
+                               const PoolChoice &Chosen,
+                               std::string_view ReasonText) {
+  assert(Chosen.Choice_.Target_.has_value() &&
          "the caller sends only where a target was chosen");
-  const placement::TargetIndex Target = *Where.Choice_.Target_;
-  placement::TargetPool &Targets = Where.Pool_->targets();
+  const placement::TargetIndex Target = *Chosen.Choice_.Target_;
+  placement::TargetPool &Targets = Chosen.Pool_->targets();
   Targets.recordStart(Target);
-  ++Wanted.Sends_;
-  Wanted.Pool_ = Where.Pool_;
-  Wanted.SentTo_ = Target;
-  Wanted.Waits_ = false;
-  Decision Taken;
-  Taken.Action_ = Decision::Action::Send;
-  Taken.Ticket_ = Ticket;
-  Taken.Target_ = Targets.idOf(Target);
-  Taken.Address_ = Where.Pool_->address(Target);
-  Taken.Region_ = Where.Pool_->region();
-  Taken.Reason_ = Why == "nearest" ? Where.Choice_.Reason_ : Why;
-  for (const placement::PassedOver &Other : Where.Choice_.passedOver())
-    Taken.PassedOverTargets_.push_back(
+  ++Pending.Sends_;
+  Pending.Pool_ = Chosen.Pool_;
+  Pending.SentTo_ = Target;
+  Pending.IsWaiting_ = false;
+  Decision Result;
+  Result.Action_ = Decision::Action::Send;
+  Result.Ticket_ = Ticket;
+  Result.Target_ = Targets.idOf(Target);
+  Result.Address_ = Chosen.Pool_->address(Target);
+  Result.Region_ = Chosen.Pool_->region();
+  Result.Reason_ =
+      ReasonText == "nearest" ? Chosen.Choice_.Reason_ : ReasonText;
+  for (const placement::PassedOver &Other : Chosen.Choice_.passedOver())
+    Result.PassedOverTargets_.push_back(
         {Targets.idOf(Other.Target_), Other.Reason_});
-  Taken.SettingsVersion_ = Version_;
-  return Taken;
+  Result.SettingsVersion_ = Version_;
+  return Result;
 }
 
-Decision ServiceSteering::hold(std::uint64_t Ticket, Pending &Wanted) const {
-  Wanted.Waits_ = true;
-  Decision Taken;
-  Taken.Action_ = Decision::Action::Wait;
-  Taken.Ticket_ = Ticket;
-  Taken.Region_ = Wanted.Pool_->region();
-  Taken.Reason_ = "all-full";
-  Taken.WaitUntil_ = Wanted.Request_.Deadline_;
-  Taken.SettingsVersion_ = Version_;
-  return Taken;
+Decision ServiceSteering::makeWaitDecision(std::uint64_t Ticket,
+                                           PendingRequest &Pending) const {
+  Pending.IsWaiting_ = true;
+  Decision Result;
+  Result.Action_ = Decision::Action::Wait;
+  Result.Ticket_ = Ticket;
+  Result.Region_ = Pending.Pool_->region();
+  Result.Reason_ = "all-full";
+  Result.WaitUntil_ = Pending.Request_.Deadline_;
+  Result.SettingsVersion_ = Version_;
+  return Result;
 }
 
 Decision ServiceSteering::refuse(Refusal Reason, Ran MayHaveRun,
-                                 std::string_view Why) const {
-  /// Until the next look at targets that are lost, or at a full region.
-  constexpr base::Duration ComeBack = std::chrono::seconds(1);
-  Decision Taken;
-  Taken.Refusal_ = Reason;
-  Taken.Ran_ = MayHaveRun;
-  Taken.Reason_ = Why.empty() ? nameOf(Reason) : Why;
-  Taken.SettingsVersion_ = Version_;
+                                 std::string_view ReasonText) const {
+  /// Time until lost targets or a full region are worth another attempt.
+  constexpr base::Duration CheckInterval = std::chrono::seconds(1);
+  Decision Result;
+  Result.Refusal_ = Reason;
+  Result.Ran_ = MayHaveRun;
+  Result.Reason_ = ReasonText.empty() ? nameOf(Reason) : ReasonText;
+  Result.SettingsVersion_ = Version_;
   if (Reason == Refusal::QueueFull || Reason == Refusal::NoHealthyTarget)
-    Taken.RetryAfter_ = ComeBack;
-  return Taken;
+    Result.RetryAfter_ = CheckInterval;
+  return Result;
 }
 
 Decision
-ServiceSteering::refuse(const Pending &Wanted,
+ServiceSteering::refuse(const PendingRequest &Pending,
                         const admission::AdmissionDecision &Verdict) const {
-  Decision Taken = refuse(refusalOf(Verdict.Reason_), ranOf(Wanted.MayHaveRun_),
-                          admission::nameOf(Verdict.Reason_));
-  Taken.RetryAfter_ = Verdict.RetryAfter_;
-  return Taken;
+  Decision Result =
+      refuse(refusalOf(Verdict.Reason_), ranOf(Pending.MayHaveRun_),
+             admission::nameOf(Verdict.Reason_));
+  Result.RetryAfter_ = Verdict.RetryAfter_;
+  return Result;
 }
 
 Decision ServiceSteering::finish(std::uint64_t Ticket, const SendReport &Report,
                                  base::TimePoint Now,
-                                 std::vector<Wakeup> &Woken) {
+                                 std::vector<Wakeup> &Wakeups) {
   const std::scoped_lock Guard(Lock_);
-  const auto Place = Pending_.find(Ticket);
-  if (Place == Pending_.end() || Place->second.Waits_)
+  const auto Known = Pending_.find(Ticket);
+  if (Known == Pending_.end() || Known->second.IsWaiting_)
     return refuse(Refusal::None, Ran::Maybe);
-  release(Place->second, Report, Now);
-  Decision Next = afterFailure(Ticket, Place->second, Report, Now);
+  release(Known->second, Report, Now);
+  Decision Next = afterFailure(Ticket, Known->second, Report, Now);
   if (Next.Action_ == Decision::Action::Refuse)
     Pending_.erase(Ticket);
-  letWaitingGo(Now, Woken);
+  resumeWaiting(Now, Wakeups);
   return Next;
 }
 
-void ServiceSteering::release(Pending &Ended, const SendReport &Report,
+void ServiceSteering::release(PendingRequest &Ended, const SendReport &Report,
                               base::TimePoint Now) {
   RegionPool &Pool = *Ended.Pool_;
   const placement::TargetIndex Target = Ended.SentTo_;
-  const placement::Outcome Seen = outcomeOf(Report, Pool.line().expectedWork());
-  Pool.targets().recordFinish(Target, Seen, Report.Took_, Now);
-  Pool.line().recordCompletion(Ended.Customer_, Ended.Request_.CallerHash_,
-                               Ended.Charged_, Report.Took_,
-                               Seen == placement::Outcome::Success, Now);
+  const placement::Outcome TargetOutcome =
+      outcomeOf(Report, Pool.admission().expectedWork());
+  Pool.targets().recordFinish(Target, TargetOutcome, Report.Took_, Now);
+  Pool.admission().recordCompletion(
+      Ended.Customer_, Ended.Request_.CallerHash_, Ended.ChargedWork_,
+      Report.Took_, TargetOutcome == placement::Outcome::Success, Now);
   const std::uint64_t Fingerprint = Ended.Request_.Fingerprint_;
   if (Report.Outcome_ == SendOutcome::Answered) {
     shifting::ColdCost &Cold = ColdCosts_[Pool.region()];
-    if (Ended.Shifted_)
+    if (Ended.IsShifted_)
       Cold.movedTook(Report.Took_, Now);
     else
       Cold.ownTook(Report.Took_);
     Retries_.recordSuccess();
-    Pool.retries(Target).recordSuccess();
+    Pool.retryBudget(Target).recordSuccess();
     Context_.Suspects_->recordResponse(Fingerprint);
   }
   const bool Reset = Report.Outcome_ == SendOutcome::LostBeforeResponse ||
@@ -327,7 +339,8 @@
                                          Pool.targets().idOf(Target), Now);
 }
 
-Decision ServiceSteering::afterFailure(std::uint64_t Ticket, Pending &Failed,
+Decision ServiceSteering::afterFailure(std::uint64_t Ticket,
+                                       PendingRequest &Failed,
                                        const SendReport &Report,
                                        base::TimePoint Now) {
   const retrying::RetryVerdict Verdict = retrying::evaluateRetry(
@@ -344,76 +357,78 @@
     return refuse(Refusal::TargetFailed, MayHaveRun);
   if (Context_.Suspects_->suspectUntil(Failed.Request_.Fingerprint_, Now) > Now)
     return refuse(Refusal::CrashSuspect, MayHaveRun);
-  return enter(Ticket, Failed, {}, Now);
+  return admit(Ticket, Failed, {}, Now);
 }
 
 void ServiceSteering::cancel(std::uint64_t Ticket, base::TimePoint) {
   const std::scoped_lock Guard(Lock_);
-  const auto Place = Pending_.find(Ticket);
-  if (Place == Pending_.end() || !Place->second.Waits_)
+  const auto Known = Pending_.find(Ticket);
+  if (Known == Pending_.end() || !Known->second.IsWaiting_)
     return;
   if (std::erase(RateWaiting_, Ticket) == 0)
-    Place->second.Pool_->line().cancel(Place->second.Place_);
-  Pending_.erase(Place);
+    Known->second.Pool_->admission().cancel(Known->second.QueuePosition_);
+  Pending_.erase(Known);
 }
 
-void ServiceSteering::tick(base::TimePoint Now, std::vector<Wakeup> &Woken) {
+void ServiceSteering::tick(base::TimePoint Now, std::vector<Wakeup> &Wakeups) {
   const std::scoped_lock Guard(Lock_);
-  const bool Upkeep = Now - LastUpkeep_ >= UpkeepInterval;
-  if (Upkeep)
+  const bool IsUpkeepDue = Now - LastUpkeep_ >= UpkeepInterval;
+  if (IsUpkeepDue)
     LastUpkeep_ = Now;
-  stepShifts(Now);
-  letRateWaitingGo(Now, Woken);
+  stepShiftPlans(Now);
+  resumeRateWaiting(Now, Wakeups);
   for (const auto &[Id, Pool] : Pools_) {
-    if (Upkeep)
+    if (IsUpkeepDue)
       Pool->targets().tick(Now);
-    Pool->upkeep(Now);
-    std::vector<admission::DroppedRequest> Left;
-    Pool->line().expire(Now, Left);
-    giveUp(Left, Woken);
+    Pool->expireReservations(Now);
+    std::vector<admission::DroppedRequest> Expired;
+    Pool->admission().expire(Now, Expired);
+    refuseExpired(Expired, Wakeups);
   }
-  letWaitingGo(Now, Woken);
-  spillWaiting(Now, Woken);
+  resumeWaiting(Now, Wakeups);
+  spillWaiting(Now, Wakeups);
 }
 
-void ServiceSteering::letWaitingGo(base::TimePoint Now,
-                                   std::vector<Wakeup> &Woken) {
+void ServiceSteering::resumeWaiting(base::TimePoint Now,
+                                    std::vector<Wakeup> &Wakeups) {
   for (const auto &[Id, Pool] : Pools_) {
-    std::vector<admission::DroppedRequest> Left;
-    while (Pool->line().queued() > 0) {
-      Found Where{Pool.get(), Pool->targets().choose({}, Now, Random_)};
-      if (!Where.Choice_.Target_)
+    std::vector<admission::DroppedRequest> Expired;
+    while (Pool->admission().queued() > 0) {
+      PoolChoice Chosen{Pool.get(), Pool->targets().choose({}, Now, Random_)};
+      if (!Chosen.Choice_.Target_)
         break;
-      const auto Next = Pool->line().dequeue(Now, Left);
+      const auto Next = Pool->admission().dequeue(Now, Expired);
       if (!Next)
         break;
-      Pending &First = Pending_.at(Next->Ticket_);
-      // A second send goes to another target than the one that failed.
-      if (First.Sends_ > 0 && First.SentTo_ == Where.Choice_.Target_) {
-        Where.Choice_ = choose(*Pool, First, Now);
-        if (!Where.Choice_.Target_) {
-          First.Place_ = Pool->line().requeue(*Next);
+      PendingRequest &First = Pending_.at(Next->Ticket_);
+      // A retry goes to another target than the one that failed.
+      if (First.Sends_ > 0 && First.SentTo_ == Chosen.Choice_.Target_) {
+        Chosen.Choice_ = choose(*Pool, First, Now);
+        if (!Chosen.Choice_.Target_) {
+          First.QueuePosition_ = Pool->admission().requeue(*Next);
           break;
         }
       }
-      First.Charged_ = Next->Work_;
-      Woken.push_back(
-          {Next->Ticket_, send(Next->Ticket_, First, Where,
-                               First.Shifted_ ? "shift" : "waited")});
+      First.ChargedWork_ = Next->Work_;
+      Wakeups.push_back(
+          {Next->Ticket_, send(Next->Ticket_, First, Chosen,
+                               First.IsShifted_ ? "shift" : "waited")});
     }
-    giveUp(Left, Woken);
+    refuseExpired(Expired, Wakeups);
   }
 }
 
-void ServiceSteering::giveUp(std::span<const admission::DroppedRequest> Left,
-                             std::vector<Wakeup> &Woken) {
-  for (const admission::DroppedRequest &Each : Left) {
-    const Pending &Ended = Pending_.at(Each.Request_.Ticket_);
-    Decision Refused = refuse(refusalOf(Each.Reason_), ranOf(Ended.MayHaveRun_),
-                              admission::nameOf(Each.Reason_));
-    Refused.RetryAfter_ = Each.RetryAfter_;
-    Woken.push_back({Each.Request_.Ticket_, Refused});
-    Pending_.erase(Each.Request_.Ticket_);
+void ServiceSteering::refuseExpired(
+    std::span<const admission::DroppedRequest> Expired,
+    std::vector<Wakeup> &Wakeups) {
+  for (const admission::DroppedRequest &Entry : Expired) {
+    const PendingRequest &Ended = Pending_.at(Entry.Request_.Ticket_);
+    Decision Refused =
+        refuse(refusalOf(Entry.Reason_), ranOf(Ended.MayHaveRun_),
+               admission::nameOf(Entry.Reason_));
+    Refused.RetryAfter_ = Entry.RetryAfter_;
+    Wakeups.push_back({Entry.Request_.Ticket_, Refused});
+    Pending_.erase(Entry.Request_.Ticket_);
   }
 }
 
--- a/libs/steering/ServiceSteering.h
+++ b/libs/steering/ServiceSteering.h
@@ -17,38 +17,38 @@
 
 namespace lychee::steering {
 
-/// Bounds of one service's retrying at one host.
+/// Limits of one service at one host.
 struct ServiceLimits {
-  /// Sends of one request, the first included: two failures in a row at
-  /// different targets speak against the request or the region, and a fourth
-  /// target would learn it the same way.
+  /// Maximum number of sends of one request, the first included: two failures
+  /// in a row at different targets indicate a fault of the request or the
+  /// region, and a fourth target would fail the same way.
   std::uint32_t MaxSends_ = 3;
   retrying::RetryBudget::Limits Retries_;
-  /// Of each region's line; ExpectedWork_ is the service's own.
+  /// Of each region's queue; ExpectedWork_ is set by the service.
   admission::AdmissionControl::Limits Admission_;
 };
 
-/// What one host's services have in common.
+/// The context that all services of one host share.
 struct HostContext {
   base::HostId Host_;
   base::RegionId Region_;
   ServiceLimits Limits_;
   /// Shared by all services; thread-safe.
   retrying::CrashSuspects *Suspects_ = nullptr;
-  /// Asks once more whether a customer's rate lets a request in; empty where
-  /// no tokens come from peers.
+  /// Checks again whether a customer's rate admits a request; empty where no
+  /// tokens come from peers.
   std::function<admission::RateCheck(const base::CustomerId &Customer,
                                      base::TimePoint Now)>
       RecheckRate_;
 };
 
-/// One service at one host: its targets by region, its running and waiting
-/// requests, under one lock. Decides in this order: crash suspects, the
-/// customer's rate, the region, room there, the target; after a failed send
-/// whether it may be sent again. \see FleetSteering
+/// One service at one host: its targets by region, and its running and waiting
+/// requests, under one lock. Makes decisions in this order: crash suspects, the
+/// customer's rate, the region, free slots there, the target; after a failed
+/// send whether to retry. \see FleetSteering
 class ServiceSteering {
 public:
-  /// \param Index  the low bits of its tickets.
+  /// \param Index  the low bits of this service's tickets.
   ServiceSteering(base::ServiceId Service, std::uint16_t Index,
                   const HostContext &Context, std::uint64_t Seed);
   ServiceSteering(const ServiceSteering &) = delete;
@@ -56,110 +56,115 @@
 
   const base::ServiceId &id() const noexcept { return Service_; }
 
-  /// Takes over targets, customers and links. A target that left the intent
-  /// gets no new work; what runs there ends.
+  /// Applies targets, customers and links. A target that is no longer in the
+  /// intent gets no new requests; its running requests end normally.
   void applyIntent(const settings::Intent &Intent, base::TimePoint Now);
 
   /// Sets the other hosts that send to the same targets.
   void setPeers(std::span<const base::HostId> Peers);
-  void heardRound(const HostLoadUpdate &Round, base::TimePoint Now);
-  /// Adds what this host tells its peers.
-  void addRound(HostLoadUpdate &Round, base::TimePoint Now) const;
-  /// Sets the difference from the monotonic clock to the time of day.
+  void receiveLoadUpdate(const HostLoadUpdate &Update, base::TimePoint Now);
+  /// Adds this service's part of the update for the peers.
+  void addLoadUpdate(HostLoadUpdate &Update, base::TimePoint Now) const;
+  /// Sets the offset from the monotonic clock to the wall clock.
   void setWallOffset(base::Duration Offset);
 
   // Slots, \see SlotTable.
   void enterEpoch(std::uint64_t Epoch, std::span<const Member> Members);
   void settle(std::uint64_t Epoch);
-  bool fits() const;
-  void addAsks(std::vector<SlotRequest> &Asks, base::TimePoint Now);
-  std::vector<SlotCount> giveSlots(const SlotRequest &Asked,
-                                   base::TimePoint Now);
-  void acceptSlots(const SlotGrant &Gift, base::TimePoint Now,
-                   std::vector<Wakeup> &Woken);
+  bool conformsToEpoch() const;
+  void addSlotRequests(std::vector<SlotRequest> &Requests, base::TimePoint Now);
+  std::vector<SlotCount> grantSlots(const SlotRequest &Request,
+                                    base::TimePoint Now);
+  void acceptSlots(const SlotGrant &Grant, base::TimePoint Now,
+                   std::vector<Wakeup> &Wakeups);
 
-  void reported(const base::TargetId &Target, std::uint32_t Load,
-                base::TimePoint MeasuredAt);
+  void reportTargetLoad(const base::TargetId &Target, std::uint32_t Load,
+                        base::TimePoint MeasuredAt);
 
-  Decision arrive(const Request &Arrived, const admission::RateCheck &Rate,
+  Decision arrive(const Request &NewRequest, const admission::RateCheck &Rate,
                   base::TimePoint Now);
   Decision finish(std::uint64_t Ticket, const SendReport &Report,
-                  base::TimePoint Now, std::vector<Wakeup> &Woken);
+                  base::TimePoint Now, std::vector<Wakeup> &Wakeups);
   void cancel(std::uint64_t Ticket, base::TimePoint Now);
-  void tick(base::TimePoint Now, std::vector<Wakeup> &Woken);
+  void tick(base::TimePoint Now, std::vector<Wakeup> &Wakeups);
 
 private:
   /// A request between its arrival and its last decision.
-  struct Pending {
+  struct PendingRequest {
     Request Request_;
-    /// Until when it waits for tokens of its customer's rate.
+    /// End of the wait for tokens of its customer's rate.
     base::TimePoint RateUntil_;
-    /// The region that it waits for, or was sent to.
+    /// The region that it waits for or was last sent to.
     RegionPool *Pool_ = nullptr;
-    admission::QueuePosition Place_;
+    admission::QueuePosition QueuePosition_;
     admission::CustomerIndex Customer_ = 0;
-    /// What the line charged for it.
-    base::Duration Charged_{};
+    /// Work that admission control charged for it.
+    base::Duration ChargedWork_{};
     std::uint32_t Sends_ = 0;
-    /// In Pool_; where it was sent at all.
+    /// Index in Pool_; valid once Sends_ is above zero.
     placement::TargetIndex SentTo_ = 0;
-    bool Waits_ = false;
+    bool IsWaiting_ = false;
     /// A shift plan moved it to Pool_.
-    bool Shifted_ = false;
-    /// An earlier send may have run.
+    bool IsShifted_ = false;
+    /// An earlier send may have been executed.
     bool MayHaveRun_ = false;
   };
 
-  /// A target found, in a pool.
-  struct Found {
+  /// A pool and the choice of a target in it.
+  struct PoolChoice {
     RegionPool *Pool_ = nullptr;
     placement::TargetChoice Choice_;
   };
 
-  // The way of a request, in ServiceSteering.cpp.
-  Decision enter(std::uint64_t Ticket, Pending &Wanted,
+  // Request lifecycle, in ServiceSteering.cpp.
+  Decision admit(std::uint64_t Ticket, PendingRequest &Pending,
                  const admission::RateCheck &Rate, base::TimePoint Now);
-  Decision enterElsewhere(std::uint64_t Ticket, Pending &Wanted,
-                          const Found &Where, base::TimePoint Now,
-                          std::string_view Why);
-  bool payForResend(const Pending &Wanted, const Found &Near,
-                    base::TimePoint Now);
-  Decision send(std::uint64_t Ticket, Pending &Wanted, const Found &Where,
-                std::string_view Why);
-  bool mayWaitForRate(const Request &Arrived) const;
-  Decision holdForRate(std::uint64_t Ticket, Pending &Wanted,
+  Decision admitElsewhere(std::uint64_t Ticket, PendingRequest &Pending,
+                          const PoolChoice &Chosen, base::TimePoint Now,
+                          std::string_view ReasonText);
+  bool spendRetryBudget(const PendingRequest &Pending,
+                        const PoolChoice &HomeChoice, base::TimePoint Now);
+  Decision send(std::uint64_t Ticket, PendingRequest &Pending,
+                const PoolChoice &Chosen, std::string_view ReasonText);
+  bool mayWaitForRate(const Request &NewRequest) const;
+  Decision waitForRate(std::uint64_t Ticket, PendingRequest &Pending,
                        base::TimePoint Now);
-  void letRateWaitingGo(base::TimePoint Now, std::vector<Wakeup> &Woken);
-  Decision hold(std::uint64_t Ticket, Pending &Wanted) const;
+  void resumeRateWaiting(base::TimePoint Now, std::vector<Wakeup> &Wakeups);
+  Decision makeWaitDecision(std::uint64_t Ticket,
+                            PendingRequest &Pending) const;
   Decision refuse(Refusal Reason, Ran MayHaveRun,
-                  std::string_view Why = {}) const;
-  Decision refuse(const Pending &Wanted,
+                  std::string_view ReasonText = {}) const;
+  Decision refuse(const PendingRequest &Pending,
                   const admission::AdmissionDecision &Verdict) const;
-  Decision afterFailure(std::uint64_t Ticket, Pending &Failed,
+  Decision afterFailure(std::uint64_t Ticket, PendingRequest &Failed,
                         const SendReport &Report, base::TimePoint Now);
-  void release(Pending &Ended, const SendReport &Report, base::TimePoint Now);
-  void letWaitingGo(base::TimePoint Now, std::vector<Wakeup> &Woken);
-  void giveUp(std::span<const admission::DroppedRequest> Left,
-              std::vector<Wakeup> &Woken);
-
-  // Where it goes, in ServicePlacement.cpp.
-  RegionPool *homeOf(const Pending &Wanted, base::TimePoint Now);
-  placement::TargetChoice choose(RegionPool &Pool, const Pending &Wanted,
-                                 base::TimePoint Now);
-  std::optional<Found> elsewhere(const Pending &Wanted, RegionPool &Home,
-                                 base::Duration Wait, base::TimePoint Now,
-                                 std::string_view &Why);
-  RegionPool *shiftedHome(Pending &Wanted, RegionPool &Home,
+  void release(PendingRequest &Ended, const SendReport &Report,
+               base::TimePoint Now);
+  void resumeWaiting(base::TimePoint Now, std::vector<Wakeup> &Wakeups);
+  void refuseExpired(std::span<const admission::DroppedRequest> Expired,
+                     std::vector<Wakeup> &Wakeups);
+
+  // Choice of region and target, in ServicePlacement.cpp and
+  // ServiceShifting.cpp.
+  RegionPool *homePool(const PendingRequest &Pending, base::TimePoint Now);
+  placement::TargetChoice
+  choose(RegionPool &Pool, const PendingRequest &Pending, base::TimePoint Now);
+  std::optional<PoolChoice> chooseOtherRegion(const PendingRequest &Pending,
+                                              RegionPool &Home,
+                                              base::Duration Wait,
+                                              base::TimePoint Now,
+                                              std::string_view &ReasonText);
+  RegionPool *applyShifts(PendingRequest &Pending, RegionPool &Home,
                           base::TimePoint Now);
   bool takeHeadroom(const base::RegionId &Region, base::TimePoint Now);
-  shifting::RegionsView viewOf(const base::RegionId &Receiver,
-                               const base::RegionId &Sender,
-                               base::TimePoint Now);
+  shifting::RegionsView regionsView(const base::RegionId &Receiver,
+                                    const base::RegionId &Sender,
+                                    base::TimePoint Now);
   void setPlans(const settings::Intent &Intent, base::TimePoint Now);
-  void stepShifts(base::TimePoint Now);
-  void spillWaiting(base::TimePoint Now, std::vector<Wakeup> &Woken);
+  void stepShiftPlans(base::TimePoint Now);
+  void spillWaiting(base::TimePoint Now, std::vector<Wakeup> &Wakeups);
   void spillFrom(RegionPool &Home, RegionPool &Other, base::TimePoint Now,
-                 std::vector<Wakeup> &Woken);
+                 std::vector<Wakeup> &Wakeups);
   bool hasHeadroom(const RegionPool &Pool, base::TimePoint Now) const noexcept;
   base::Duration roundTrip(const base::RegionId &From,
                            const base::RegionId &To) const;
@@ -176,17 +181,17 @@
   std::map<base::RegionId, std::unique_ptr<RegionPool>> Pools_;
   std::map<std::pair<base::RegionId, base::RegionId>, base::Duration>
       RoundTrips_;
-  std::unordered_map<std::uint64_t, Pending> Pending_;
-  /// Tickets that wait for tokens, the oldest first.
+  std::unordered_map<std::uint64_t, PendingRequest> Pending_;
+  /// Tickets that wait for tokens, oldest first.
   std::deque<std::uint64_t> RateWaiting_;
   std::vector<base::HostId> Peers_;
   std::uint64_t Epoch_ = 0;
   std::vector<Member> Members_;
   bool Settled_ = false;
   base::TimePoint LastUpkeep_;
-  shifting::ShiftSet Shifts_;
-  /// Plans as operators' actions left them.
-  std::map<base::PlanId, shifting::ShiftPlan> Plans_;
+  shifting::ShiftSet ShiftPlans_;
+  /// Plans with the state that operators' actions have given them.
+  std::map<base::PlanId, shifting::ShiftPlan> PlanStates_;
   std::map<base::RegionId, shifting::ColdCost> ColdCosts_;
   base::Duration WallOffset_{};
   base::TimePoint LastShiftStep_;
--- a/libs/steering/SlotMessages.h
+++ b/libs/steering/SlotMessages.h
@@ -10,7 +10,7 @@
 
 namespace lychee::steering {
 
-/// How many requests one host has in flight at one target.
+/// Number of requests that one host has in flight at one target.
 struct PeerLoad {
   base::ServiceId Service_;
   base::TargetId Target_;
@@ -19,27 +19,27 @@
   bool operator==(const PeerLoad &) const = default;
 };
 
-/// How a host stands with one service in one region.
+/// A host's free and used slots of one service in one region.
 struct SpareSlots {
   base::ServiceId Service_;
   base::RegionId Region_;
-  /// Free slots that it could give.
+  /// Free slots that the host could grant.
   std::uint32_t Free_ = 0;
-  /// Slots that it has in use.
+  /// Slots that the host has in use.
   std::uint32_t InUse_ = 0;
 
   bool operator==(const SpareSlots &) const = default;
 };
 
-/// What a host tells all others about every 50 ms.
+/// A host's load update, sent to all peers about every 50 ms.
 struct HostLoadUpdate {
   base::HostId Host_;
-  /// Left out where slots are divided, as no one needs it then.
+  /// Left out where slots are divided, because no peer needs it then.
   std::vector<PeerLoad> Loads_;
   std::vector<SpareSlots> SpareSlots_;
 };
 
-/// A host's wish for slots that \p Donor_ has free.
+/// A host's request for free slots of \p Donor_.
 struct SlotRequest {
   base::HostId Requester_;
   base::RegionId RequesterRegion_;
@@ -47,14 +47,15 @@
   base::ServiceId Service_;
   base::RegionId Region_;
   std::uint32_t Slots_ = 0;
-  /// Slots that the asker has in use: one that has fewer than the donor gets
-  /// some although requests wait there too.
+  /// Slots that the requester has in use: a requester with far fewer than the
+  /// donor is granted some although requests wait at the donor too.
   std::uint32_t RequesterInUse_ = 0;
-  /// Empty for any; else slots of this target are wanted back.
+  /// Empty for slots of any target; otherwise slots of this target are
+  /// recalled.
   base::TargetId RecallTarget_;
 };
 
-/// Slots that \p Donor_ gave, as counts that only rise. \see SlotTable
+/// Slots that \p Donor_ granted, as counts that only rise. \see SlotTable
 struct SlotGrant {
   base::HostId Donor_;
   base::HostId Receiver_;
--- a/libs/steering/Steering.h
+++ b/libs/steering/Steering.h
@@ -13,14 +13,14 @@
 
 namespace lychee::steering {
 
-/// What a target says of its own load.
+/// A target's own load report.
 struct TargetLoad {
   std::uint32_t Running_ = 0;
   std::uint32_t Waiting_ = 0;
   std::uint32_t Slots_ = 0;
 };
 
-/// What is known of a caller's request when it arrives, its key checked.
+/// A caller's request on arrival, after its key was checked.
 struct Request {
   base::RequestId Id_;
   base::ServiceId Service_;
@@ -28,36 +28,38 @@
   base::KeyId Key_;
   std::string_view Method_;
   std::string_view Path_;
-  /// Hash of caller address and key: the caller's stable place in a shift.
+  /// Hash of caller address and key; determines the caller's stable position in
+  /// a shift plan.
   std::uint64_t CallerHash_ = 0;
   /// Hash of customer, method, path and body prefix, for crash suspects.
   std::uint64_t Fingerprint_ = 0;
   /// Regions for this caller, nearest first.
   std::vector<base::RegionId> PreferredRegions_;
-  /// When its head had come.
+  /// When its header was complete.
   base::TimePoint ArrivedAt_;
   base::TimePoint Deadline_;
   std::uint64_t BodyBytes_ = 0;
   bool Idempotent_ = false;
-  /// What operators call the rule that took it; empty: it has none.
+  /// Operators' name of the rule that matched it; empty where the rule has no
+  /// name.
   std::string Rule_;
-  /// Time within which an answer is worth most, counted from arrival; zero:
-  /// none is stated.
+  /// Time, counted from arrival, within which a response has its full value;
+  /// zero where none is declared.
   base::Duration LatencyObjective_{};
-  /// Targets that it may be sent to; 0: as the steering sees fit.
+  /// Maximum number of targets that it may be sent to; 0: the steering decides.
   std::uint32_t MaxSends_ = 0;
   /// 0 is the most urgent.
   std::uint32_t Priority_ = 0;
-  /// Hash of the object it is about; 0: of none in particular.
+  /// Hash of the object that it refers to; 0: no particular object.
   std::uint64_t ObjectHash_ = 0;
-  /// Regions in which it may be served, where it is not free to go anywhere.
+  /// Regions in which it may be served; empty where it may go to any.
   std::optional<std::vector<base::RegionId>> Homes_;
 };
 
-/// Whether a refused or failed request may have run at a target.
+/// Whether a refused or failed request may have been executed by a target.
 enum class Ran { No, Maybe };
 
-/// Why a request was refused; each names one place in the decisions.
+/// Why a request was refused; each value belongs to one place in the decisions.
 enum class Refusal {
   None,
   UnknownKey,
@@ -78,50 +80,51 @@
   DeadlineExceeded,
 };
 
-/// \returns the name that stands in problem documents and log lines.
+/// \returns the name used in problem documents and log lines.
 std::string_view nameOf(Refusal Reason) noexcept;
 
-/// A target that was weighed and not taken, and why.
+/// A target that was considered and not chosen, and the reason.
 struct PassedOverTarget {
   base::TargetId Target_;
   std::string_view Reason_;
 };
 
-/// What a target was chosen by, for the log.
+/// The inputs of a target's choice, for the log.
 struct ChoiceInputs {
-  /// Its place in the object's own order of targets; 0 is the first.
+  /// The target's rank in the object's order of targets; 0 is the first.
   std::uint32_t Rank_ = 0;
-  /// Time within which it should answer.
+  /// Time within which the target is expected to answer.
   base::Duration ExpectedResponseTime_{};
-  /// Requests believed to be at the target.
+  /// Estimated number of requests at the target.
   double Load_ = 0;
-  /// Age of the target's own last word on that; nothing: it has said none.
+  /// Age of the target's last load report; empty where there is none.
   std::optional<base::Duration> LoadAge_;
 };
 
-/// What is to be done with a request now.
+/// What to do with a request now.
 struct Decision {
   enum class Action {
     /// Send it to Target_ at Address_ now.
     Send,
-    /// Hold it; its ticket comes up in a later Wakeups, by WaitUntil_ at last.
+    /// Hold it; its ticket appears in a later Wakeup, at WaitUntil_ at the
+    /// latest.
     Wait,
     /// Answer the caller with Refusal_.
     Refuse,
   };
 
   Action Action_ = Action::Refuse;
-  /// Names this request in later calls; 0 where it is refused.
+  /// Identifies this request in later calls; 0 where it is refused.
   std::uint64_t Ticket_ = 0;
 
   base::TargetId Target_;
   std::string Address_;
-  /// The start of the target that is meant; empty: whichever answers there.
+  /// The expected incarnation of the target; empty: any that answers there.
   std::string ExpectedTarget_;
-  /// From when on silence of the target counts as a lost answer.
+  /// Time after which a missing response counts as lost.
   base::TimePoint ResponseDeadline_ = base::TimePoint::max();
   base::RegionId Region_;
-  /// One word for the log: why this target or region.
+  /// Reason for the target or region, for the log.
   std::string_view Reason_;
   std::vector<PassedOverTarget> PassedOverTargets_;
   std::optional<ChoiceInputs> Inputs_;
@@ -130,44 +133,45 @@
 
   Refusal Refusal_ = Refusal::None;
   Ran Ran_ = Ran::No;
-  /// When coming back helps; zero where waiting does not help.
+  /// Time after which a retry may succeed; zero where waiting does not help.
   base::Duration RetryAfter_{};
   std::uint64_t SettingsVersion_ = 0;
 };
 
-/// A decision for a request that had waited.
+/// A decision for a request that waited.
 struct Wakeup {
   std::uint64_t Ticket_ = 0;
   Decision Decision_;
 };
 
-/// The point at which a send to a target ended. \see retrying::evaluateRetry
+/// How a send to a target ended. \see retrying::evaluateRetry
 using SendOutcome = retrying::SendOutcome;
 
-/// How a send went, as this host saw it.
+/// Result of a send, as observed by this host.
 struct SendReport {
   SendOutcome Outcome_ = SendOutcome::Answered;
   int Status_ = 0;
   /// Time at the target: from the first byte written to the last byte read.
   base::Duration Took_{};
-  /// True where bytes of the answer have gone to the caller already.
+  /// Whether bytes of the response have already been forwarded to the caller.
   bool AnswerStarted_ = false;
   std::uint64_t AnswerBytes_ = 0;
-  /// True where the send ended because nothing came for too long, and not
-  /// because the connection ended: silence is no sign of a crash.
+  /// Whether the send ended because nothing arrived for too long, rather than
+  /// because the connection closed: a time-out is no evidence of a crash.
   bool TimedOut_ = false;
-  /// Another target answered at the address.
+  /// Another target than the expected one answered at the address.
   bool WrongTarget_ = false;
   std::optional<TargetLoad> Load_ = std::nullopt;
 };
 
-/// One request's way through the decisions, in the order in which they are
-/// made: customer's rate, crash suspects, room, region, target, and after a
-/// failed send whether it may be sent again. The daemon's gateway and the
-/// scenarios drive the same object, so that what is measured is what runs.
+/// The decisions on a request, in the order in which they are made: the
+/// customer's rate, crash suspects, the region, free slots, the target, and
+/// after a failed send whether to retry. The daemon's gateway and the scenarios
+/// use the same object, so that measurements apply to the code that runs in
+/// production.
 ///
-/// No socket, no clock and no thread inside; calls may come from several
-/// threads. \see gateway::Gateway, scenario::Engine
+/// Contains no socket, clock or thread; calls may come from several threads.
+/// \see gateway::Gateway, scenario::Engine
 class Steering {
 public:
   Steering() = default;
@@ -176,40 +180,44 @@
   virtual ~Steering() = default;
 
   /// Decides on a new request.
-  virtual Decision arrive(const Request &Arrived, base::TimePoint Now) = 0;
-
-  /// Reports the end of a send. Where the target answered with a failure of its
-  /// own, the decision may be to send again (Send); any other decision after an
-  /// answer lets that answer go to the caller. Unless it is answered, the
-  /// decision says whether to send it again (Send), or what to tell the caller
-  /// (Refuse). \p Woken gains the requests that the freed room lets go.
+  virtual Decision arrive(const Request &NewRequest, base::TimePoint Now) = 0;
+
+  /// Reports the end of a send.
+  /// \returns Send to retry the request, also where the target answered with a
+  /// failure of its own; after a response any other decision lets that response
+  /// go to the caller, and without one Refuse says what to answer the caller.
+  /// \param Wakeups  receives the decisions for waiting requests that can go on
+  /// with the freed slots.
   virtual Decision finish(std::uint64_t Ticket, const SendReport &Report,
-                          base::TimePoint Now, std::vector<Wakeup> &Woken) = 0;
+                          base::TimePoint Now,
+                          std::vector<Wakeup> &Wakeups) = 0;
 
-  /// Asked when the patience of a Decision is over and no byte has come.
-  /// \returns whether the send is to be ended; finish() then says where the
-  /// request goes. Otherwise the target is waited for until the deadline.
+  /// Called when the response deadline of a Decision has passed and no byte has
+  /// arrived.
+  /// \returns whether to end the send; finish() then decides where the request
+  /// goes. Otherwise the target is awaited until the request's deadline.
   virtual bool mayAbandonSend(std::uint64_t Ticket, base::TimePoint Now) {
     (void)Ticket;
     (void)Now;
     return true;
   }
 
-  /// Asked when a kept connection shows no life and the request is to be sent
-  /// once more, on a new one to the same target. \returns whether it may be;
-  /// else the first send goes on.
+  /// Called when a reused connection shows no sign of life and the request is
+  /// to be sent again, on a new connection to the same target.
+  /// \returns whether to do so; otherwise the first send goes on.
   virtual bool mayHedge(std::uint64_t Ticket, base::TimePoint Now) {
     (void)Ticket;
     (void)Now;
     return true;
   }
 
-  /// Gives up a request that waits: its caller hung up.
+  /// Drops a waiting request whose caller has disconnected.
   virtual void cancel(std::uint64_t Ticket, base::TimePoint Now) = 0;
 
-  /// Refuses waiting requests that can no longer make it, and lets others go
-  /// as room allows. To be called at least every 10 ms while any waits.
-  virtual void tick(base::TimePoint Now, std::vector<Wakeup> &Woken) = 0;
+  /// Refuses waiting requests that can no longer meet their deadline, and
+  /// resumes others as slots become free. To be called at least every 10 ms
+  /// while any request waits.
+  virtual void tick(base::TimePoint Now, std::vector<Wakeup> &Wakeups) = 0;
 };
 
 } // namespace lychee::steering
--- a/tests/steering/FleetSteeringTest.cpp
+++ b/tests/steering/FleetSteeringTest.cpp
@@ -36,12 +36,12 @@
   }
 
   steering::Request request() const {
-    steering::Request Made;
-    Made.Service_ = base::ServiceId("rota");
-    Made.Customer_ = base::CustomerId("parish");
-    Made.PreferredRegions_ = {base::RegionId("near")};
-    Made.Deadline_ = Now_ + std::chrono::seconds(1);
-    return Made;
+    steering::Request Result;
+    Result.Service_ = base::ServiceId("rota");
+    Result.Customer_ = base::CustomerId("parish");
+    Result.PreferredRegions_ = {base::RegionId("near")};
+    Result.Deadline_ = Now_ + std::chrono::seconds(1);
+    return Result;
   }
 
   steering::Decision end(std::uint64_t Ticket, steering::SendOutcome End) {
@@ -49,7 +49,7 @@
   }
 };
 
-TEST(FleetSteering, aThirdRequestWaitsUntilASlotIsFree) {
+TEST(FleetSteering, aRequestWaitsUntilASlotIsFree) {
   const auto First = Steering_.arrive(request(), Now_);
   const auto Second = Steering_.arrive(request(), Now_);
   CHECK(First.Action_ == Action::Send && Second.Action_ == Action::Send);
@@ -62,7 +62,7 @@
   CHECK(Woken_[0].Decision_.Target_ == Second.Target_);
 }
 
-TEST(FleetSteering, aWaitEndsWithTheDeadline) {
+TEST(FleetSteering, aWaitEndsAtTheDeadline) {
   Steering_.arrive(request(), Now_);
   Steering_.arrive(request(), Now_);
   Steering_.arrive(request(), Now_);
@@ -72,7 +72,7 @@
   CHECK(Woken_[0].Decision_.Ran_ == steering::Ran::No);
 }
 
-TEST(FleetSteering, overItsRateACustomerIsTurnedAwayWithATime) {
+TEST(FleetSteering, aCustomerOverItsRateIsRefusedWithARetryTime) {
   for (int Count = 0; Count < 10; ++Count)
     Steering_.arrive(request(), Now_);
   const auto Over = Steering_.arrive(request(), Now_);
@@ -80,9 +80,9 @@
   CHECK(Over.RetryAfter_ > base::Duration(0));
 }
 
-TEST(FleetSteering, aSendThatMayHaveRunIsNotMadeAgain) {
+TEST(FleetSteering, aSendThatMayHaveRunIsNotRetried) {
   // The target loses the connection after the whole request was written. The
-  // request is not idempotent: a second send could run it twice.
+  // request is not idempotent, so a retry could execute it twice.
   const auto First = Steering_.arrive(request(), Now_);
   const auto Next =
       end(First.Ticket_, steering::SendOutcome::LostBeforeResponse);
@@ -90,7 +90,7 @@
   CHECK(Next.Ran_ == steering::Ran::Maybe);
 }
 
-TEST(FleetSteering, aShedRequestGoesToAnotherTarget) {
+TEST(FleetSteering, aShedRequestIsRetriedAtAnotherTarget) {
   const auto First = Steering_.arrive(request(), Now_);
   const auto Next = end(First.Ticket_, steering::SendOutcome::Shed);
   CHECK(Next.Action_ == Action::Send);
