--- a/libs/shifting/ShiftPlan.cpp
+++ b/libs/shifting/ShiftPlan.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// \returns how many steps are due at \p Now; the first at once.
+/// \returns the number of steps due at \p Now; the first is due at the start.
 double stepsDue(const ShiftPlan &Plan, base::WallPoint Now) noexcept {
   if (Now < Plan.StateSince_)
     return 0;
@@ -54,7 +54,8 @@
   return withState(Plan, ShiftPlan::State::Aborted, Now);
 }
 
-double placeOf(std::uint64_t CallerHash, const base::PlanId &Plan) noexcept {
+double callerPosition(std::uint64_t CallerHash,
+                      const base::PlanId &Plan) noexcept {
   const std::uint64_t Hash = base::stableHash(Plan.name(), CallerHash);
   return static_cast<double>(Hash >> 11) * 0x1.0p-53;
 }
--- a/libs/shifting/ShiftRunner.h
+++ b/libs/shifting/ShiftRunner.h
@@ -1,7 +1,7 @@
 #ifndef LYCHEE_SHIFTING_SHIFTRUNNER_H
 #define LYCHEE_SHIFTING_SHIFTRUNNER_H
 
-#include "shifting/CapMeter.h"
+#include "shifting/ShiftCapLimiter.h"
 #include "shifting/ShiftPlan.h"
 
 #include <optional>
@@ -9,84 +9,86 @@
 
 namespace lychee::shifting {
 
-/// What is known of the two regions of a plan, over all hosts.
+/// Load of the two regions of a plan, over all hosts.
 struct RegionsView {
-  /// Slots that the region which would receive can still give to steered work;
-  /// nothing where it is not measured.
+  /// Free slots of the receiving region for steered requests; empty where they
+  /// are not measured.
   std::optional<double> ReceiverFreeSlots_;
   base::TimePoint MeasuredAt_;
-  /// Slots that the callers of From take, moved or not.
+  /// Slots in use by the callers of From, moved or not.
   double CallersSlots_ = 0;
-  /// \see ColdCost
+  /// \see ColdCacheCost
   double ColdFactor_ = 1;
 };
 
-/// How a plan stands on this host, and why.
+/// State of a plan on this host, and the reason.
 struct ShiftStatus {
   /// Share of From's callers that is moved now.
   double Fraction_ = 0;
-  /// Share that the plan wants by now.
+  /// Share that the plan provides for by now.
   double Wanted_ = 0;
   /// "not-begun", "moving", "pace", "done", "held-by-operator",
-  /// "held-no-headroom", "held-no-measurement", "aborting", "aborted".
+  /// "held-no-headroom", "held-no-measurement", "aborting" or "aborted".
   std::string_view Reason_;
 };
 
-/// Carries a plan out on this host: follows the planned share as far as the
-/// receiving region can take it.
+/// Executes a plan on this host: follows the planned share as far as the
+/// receiving region has capacity.
 ///
-/// Load pattern: a plan moves callers on while its receiver fills up or can no
-/// longer be seen. Without a hold, the next steps overload it. A hold moves no
-/// one back, as callers that are moved have warm caches where they are; it goes
-/// on by single steps at the plan's pace, and never makes up for holdPlan time
-/// in one jump.
+/// Load pattern: a plan goes on moving callers while its receiver fills up or
+/// is no longer measured. Without a hold the next steps overload it. A hold
+/// moves no caller back, because the caches of moved callers are warm where
+/// they are now. Afterwards the plan goes on by single steps at its pace, and
+/// never makes up for the time it was held in one jump.
 ///
-/// Going back (an abort) is a move like any other: same step, same pace, and
-/// only as far as From, whose caches have cooled, can take it.
+/// An abort moves callers back by the same steps at the same pace, and only as
+/// far as From, whose caches have cooled, has capacity.
 ///
-/// Not thread-safe: the owner guards it by its service's lock.
+/// Not thread-safe: the owner guards it by the lock of its service.
 class ShiftRunner {
 public:
-  /// Largest part of the receiver's free slots that one step may take. The
-  /// rest is for its own callers' next burst, and for what other plans and
-  /// failovers steer there before the next measurement.
-  static constexpr double MostOfFree = 0.5;
-  /// Steps below this part of the plan's own are not made: they would move
-  /// too few to be measured.
-  static constexpr double SmallestStep = 0.1;
-  /// A measurement older than this is none. Load reports lag by up to a second
-  /// on an ordinary day.
-  static constexpr base::Duration MeasurementAge = std::chrono::seconds(3);
+  /// Maximum share of the receiver's free slots that one step may take. The
+  /// rest is for the next burst of the receiver's own callers, and for what
+  /// other plans and failovers steer there before the next measurement.
+  static constexpr double MaxShareOfFreeSlots = 0.5;
+  /// Steps below this share of the plan's own step are not made: they would
+  /// move too few callers to be measured.
+  static constexpr double MinStepShare = 0.1;
+  /// Age above which a measurement is ignored. Load reports ordinarily lag by
+  /// up to a second.
+  static constexpr base::Duration MaxMeasurementAge = std::chrono::seconds(3);
 
   explicit ShiftRunner(const ShiftPlan &Plan) : Plan_(Plan) {}
 
-  /// Takes over a changed plan; the share reached stays.
+  /// Applies a changed plan; the share reached is kept.
   void replacePlan(const ShiftPlan &Plan) { Plan_ = Plan; }
 
-  /// Begins where the others are, for a host that has just started: the least
-  /// share that any of them has reached.
-  void adopt(double PeersFraction) noexcept;
+  /// Sets the share reached, for a host that has just started: the smallest
+  /// share that any peer has reached.
+  void adoptPeerShare(double PeersFraction) noexcept;
 
-  /// Steps on where that is due. \p Free is lowered by the slots that the step
-  /// will take, so that plans stepped one after another share it.
+  /// Makes a step where one is due.
+  /// \param View  its free slots are lowered by the slots that the step takes,
+  /// so that plans stepped one after another share them.
   ShiftStatus tick(RegionsView &View, base::TimePoint Now,
                    base::WallPoint Wall);
 
-  /// Whether the caller's request goes to To; counts it against the cap.
-  /// \param Headroom  asked last, as it may take a token: whether To can take
-  /// one request more within the share that this host has of its headroom.
+  /// \returns whether the caller's request goes to To; counts it against the
+  /// cap.
+  /// \param Headroom  whether To can take one more request within this host's
+  /// share of its headroom. Called last, because it may take a token.
   template <typename HeadroomCheck>
-  bool move(std::uint64_t CallerHash, HeadroomCheck Headroom) {
-    Meter_.count(Plan_.Cap_);
-    if (placeOf(CallerHash, Plan_.Id_) >= Fraction_ * WithinCap_)
+  bool tryMove(std::uint64_t CallerHash, HeadroomCheck Headroom) {
+    CapLimiter_.addRequest(Plan_.Cap_);
+    if (callerPosition(CallerHash, Plan_.Id_) >= Fraction_ * CapFactor_)
       return false;
-    if (!Meter_.mayMove()) {
-      trim();
+    if (!CapLimiter_.mayMove()) {
+      reduceCapFactor();
       return false;
     }
     if (!Headroom())
       return false;
-    Meter_.moved();
+    CapLimiter_.takeMove();
     return true;
   }
 
@@ -94,23 +96,24 @@
   double fraction() const noexcept { return Fraction_; }
 
 private:
-  /// Whoever is moved sends more than the cap allows: keep fewer of them.
-  void trim() noexcept;
-  void untrim(base::TimePoint Now) noexcept;
+  /// Moved callers send more than the cap allows: moves fewer of them.
+  void reduceCapFactor() noexcept;
+  void recoverCapFactor(base::TimePoint Now) noexcept;
   std::string_view advance(double Wanted, RegionsView &View,
                            base::TimePoint Now);
   std::string_view settledReason(double Wanted,
                                  base::WallPoint Wall) const noexcept;
 
   ShiftPlan Plan_;
-  CapMeter Meter_;
+  ShiftCapLimiter CapLimiter_;
   double Fraction_ = 0;
-  /// Part of Fraction_ whose requests fit under the cap. Without it, requests
-  /// above the cap would be those of any moved caller, which would flap; so
-  /// the callers at the edge go back, and stay back.
-  double WithinCap_ = 1;
-  bool Trimmed_ = false;
-  base::TimePoint LastTrim_;
+  /// Factor on Fraction_ that keeps the moved callers' requests under the cap.
+  /// Without it the requests above the cap would be those of any moved caller,
+  /// which would flap between regions; with it the callers at the edge go back
+  /// and stay back.
+  double CapFactor_ = 1;
+  bool ReducedSinceTick_ = false;
+  base::TimePoint CapFactorChangedAt_;
   std::optional<base::TimePoint> LastStep_;
 };
 
--- a/libs/shifting/ShiftSet.h
+++ b/libs/shifting/ShiftSet.h
@@ -9,7 +9,7 @@
 
 namespace lychee::shifting {
 
-/// Where a caller's request belongs after all plans, and why.
+/// The region for a caller's request after all plans, and the reason.
 struct ShiftChoice {
   base::RegionId Region_;
   /// The plan that moved it; empty where none did.
@@ -22,46 +22,49 @@
   ShiftStatus Status_;
 };
 
-/// All shifting plans of one service, and what they do together.
+/// All shift plans of one service, and their combined effect.
 ///
-/// Load pattern: two plans into one region, with a failover at the same time.
-/// Each fits by itself; together they overload it. Plans are stepped one after
-/// another on what the earlier ones left of the receiver's free slots, and each
-/// single request that is steered in, by whatever cause, takes a token of the
-/// region's headroom, which no sum of causes exceeds. \see ShiftRunner::move
+/// Load pattern: two plans move callers into one region while a failover goes
+/// there too. Each fits by itself; together they overload the region. Plans are
+/// stepped one after another, each on the free slots of the receiver that the
+/// earlier ones left, and every single request that is steered in, for whatever
+/// reason, must pass the region's headroom check, so that the sum of all causes
+/// stays within it. \see ShiftRunner::tryMove
 ///
-/// From one region, plans pick callers independently and in order of their
-/// ids: each keeps its own cap, and the share that leaves is at most the sum.
-/// A caller is moved once; a second plan does not move it on.
+/// Several plans from one region select callers independently, in the order of
+/// their ids: each keeps its own cap, and the share that leaves is at most the
+/// sum. A caller is moved once; a second plan does not move it on.
 ///
-/// Not thread-safe: the owner guards it by its service's lock.
+/// Not thread-safe: the owner guards it by the lock of its service.
 class ShiftSet {
 public:
-  /// \returns what is known of the regions that the plan moves between.
-  using ViewOf = std::function<RegionsView(const base::RegionId &Receiver,
-                                           const base::RegionId &Sender)>;
-  /// Takes a token of the region's headroom where there is one.
+  /// \returns the load of the regions that a plan moves callers between.
+  using RegionsViewProvider = std::function<RegionsView(
+      const base::RegionId &Receiver, const base::RegionId &Sender)>;
+  /// \returns whether a region has headroom for one more request; may take a
+  /// token of it.
   using HeadroomCheck = std::function<bool(const base::RegionId &)>;
 
-  /// Sets the plans; what each has reached is kept by its id. A plan that is
-  /// no longer there goes back at its own step and pace.
+  /// Sets the plans; the share that each has reached is kept by plan id. A
+  /// removed plan is moved back at its own step and pace.
   void setPlans(std::span<const ShiftPlan> Plans);
 
-  /// Begins where peers are, with a plan that this host does not know yet.
+  /// Sets the share reached of a plan that has just started on this host to
+  /// what its peers have reached.
   void adoptPeerShare(const base::PlanId &Plan, double PeersFraction) noexcept;
 
-  /// Steps all plans. To be called about once a second.
-  std::vector<PlanStatus> tick(const ViewOf &View, base::TimePoint Now,
-                               base::WallPoint Wall);
+  /// Steps all plans; to be called about once a second.
+  std::vector<PlanStatus> tick(const RegionsViewProvider &View,
+                               base::TimePoint Now, base::WallPoint Wall);
 
-  /// \returns where the request of a caller of \p Home goes.
+  /// \returns the region for a request of a caller of \p Home.
   ShiftChoice route(std::uint64_t CallerHash, const base::RegionId &Home,
                     const HeadroomCheck &Headroom);
 
   bool empty() const noexcept { return Runners_.empty(); }
 
 private:
-  /// In order of the plans' ids.
+  /// Ordered by plan id.
   std::vector<ShiftRunner> Runners_;
 };
 
--- a/libs/steering/ServiceSteering.cpp
+++ b/libs/steering/ServiceSteering.cpp
@@ -322,11 +322,11 @@
       Report.Took_, TargetOutcome == placement::Outcome::Success, Now);
   const std::uint64_t Fingerprint = Ended.Request_.Fingerprint_;
   if (Report.Outcome_ == SendOutcome::Answered) {
-    shifting::ColdCost &Cold = ColdCosts_[Pool.region()];
+    shifting::ColdCacheCost &Cold = ColdCosts_[Pool.region()];
     if (Ended.IsShifted_)
-      Cold.movedTook(Report.Took_, Now);
+      Cold.recordMoved(Report.Took_, Now);
     else
-      Cold.ownTook(Report.Took_);
+      Cold.recordOwn(Report.Took_);
     Retries_.recordSuccess();
     Pool.retryBudget(Target).recordSuccess();
     Context_.Suspects_->recordResponse(Fingerprint);
--- a/libs/steering/ServiceSteering.h
+++ b/libs/steering/ServiceSteering.h
@@ -4,7 +4,7 @@
 #include "base/Random.h"
 #include "placement/RegionChooser.h"
 #include "retrying/CrashSuspects.h"
-#include "shifting/ColdCost.h"
+#include "shifting/ColdCacheCost.h"
 #include "shifting/ShiftSet.h"
 #include "steering/RegionPool.h"
 #include "steering/Steering.h"
@@ -192,7 +192,7 @@
   shifting::ShiftSet ShiftPlans_;
   /// Plans with the state that operators' actions have given them.
   std::map<base::PlanId, shifting::ShiftPlan> PlanStates_;
-  std::map<base::RegionId, shifting::ColdCost> ColdCosts_;
+  std::map<base::RegionId, shifting::ColdCacheCost> ColdCosts_;
   base::Duration WallOffset_{};
   base::TimePoint LastShiftStep_;
 };
--- a/tests/shifting/ShiftPlanTest.cpp
+++ b/tests/shifting/ShiftPlanTest.cpp
@@ -6,7 +6,7 @@
 using lychee::base::PlanId;
 using lychee::base::Random;
 using lychee::base::WallPoint;
-using lychee::shifting::placeOf;
+using lychee::shifting::callerPosition;
 using lychee::shifting::plannedFraction;
 using lychee::shifting::ShiftPlan;
 using namespace std::chrono_literals;
@@ -28,7 +28,7 @@
   }
 };
 
-TEST(ShiftPlan, stepsAtItsPaceUpToItsCap) {
+TEST(ShiftPlan, advancesAtItsPaceUpToItsCap) {
   DOUBLES_EQUAL(0, at(-1s), 1e-9);
   DOUBLES_EQUAL(0.1, at(0s), 1e-9);
   DOUBLES_EQUAL(0.1, at(59s), 1e-9);
@@ -36,24 +36,24 @@
   DOUBLES_EQUAL(0.35, at(24h), 1e-9);
 }
 
-TEST(ShiftPlan, aHoldKeepsWhatIsMovedAndAResumeGoesOnFromThere) {
+TEST(ShiftPlan, aHoldKeepsTheMovedShareAndAResumeContinuesFromIt) {
   Plan_ = holdPlan(Plan_, Start_ + 70s);
   DOUBLES_EQUAL(0.2, at(10h), 1e-9);
   Plan_ = resumePlan(Plan_, Start_ + 10h);
   DOUBLES_EQUAL(0.3, at(10h), 1e-9);
 }
 
-TEST(ShiftPlan, anAbortGoesBackByTheSameSteps) {
+TEST(ShiftPlan, anAbortMovesBackByTheSameSteps) {
   Plan_ = abortPlan(Plan_, Start_ + 24h);
   DOUBLES_EQUAL(0.25, at(24h), 1e-9);
   DOUBLES_EQUAL(0.15, at(24h + 60s), 1e-9);
   DOUBLES_EQUAL(0, at(25h), 1e-9);
 }
 
-// An operator holds, resumes and aborts a plan at random times, and hosts ask
-// at random times. Whatever the order, the share never passes the cap, and no
-// action moves more than one step at once.
-TEST(ShiftPlan, noSequenceOfActionsPassesTheCapOrJumps) {
+// An operator holds, resumes and aborts a plan at random times, and hosts
+// evaluate it at random times. In any order the share never exceeds the cap,
+// and no action moves more than one step at once.
+TEST(ShiftPlan, noSequenceOfActionsExceedsTheCapOrJumps) {
   for (std::uint64_t Seed = 0; Seed < 200; ++Seed) {
     Random Numbers(Seed);
     ShiftPlan Changed = Plan_;
@@ -79,17 +79,18 @@
   }
 }
 
-// Callers' places decide who moves. A place that depended on the share would
-// send callers to and fro at each step, with cold caches on both sides.
-TEST(ShiftPlan, placesAreEvenAndIndependentBetweenPlans) {
+// Positions of callers decide which of them move. A position that depended on
+// the share would move callers back and forth at each step, with cold caches on
+// both sides.
+TEST(ShiftPlan, positionsAreUniformAndIndependentBetweenPlans) {
   const PlanId Other("other");
   constexpr int Callers = 20000;
   int BelowTenth = 0;
   int BelowBoth = 0;
   for (std::uint64_t Caller = 0; Caller < Callers; ++Caller) {
-    const bool First = placeOf(Caller, Plan_.Id_) < 0.1;
+    const bool First = callerPosition(Caller, Plan_.Id_) < 0.1;
     BelowTenth += First ? 1 : 0;
-    BelowBoth += First && placeOf(Caller, Other) < 0.5 ? 1 : 0;
+    BelowBoth += First && callerPosition(Caller, Other) < 0.5 ? 1 : 0;
   }
   DOUBLES_EQUAL(0.1, static_cast<double>(BelowTenth) / Callers, 0.01);
   DOUBLES_EQUAL(0.05, static_cast<double>(BelowBoth) / Callers, 0.01);
--- a/tests/shifting/ShiftSetTest.cpp
+++ b/tests/shifting/ShiftSetTest.cpp
@@ -1,6 +1,6 @@
 #include "shifting/ShiftSet.h"
 #include "base/Random.h"
-#include "shifting/ColdCost.h"
+#include "shifting/ColdCacheCost.h"
 
 #include <set>
 #include <string>
@@ -13,7 +13,7 @@
 using lychee::base::RegionId;
 using lychee::base::TimePoint;
 using lychee::base::WallPoint;
-using lychee::shifting::ColdCost;
+using lychee::shifting::ColdCacheCost;
 using lychee::shifting::PlanStatus;
 using lychee::shifting::RegionsView;
 using lychee::shifting::ShiftChoice;
@@ -51,7 +51,8 @@
     View_.CallersSlots_ = 100;
   }
 
-  /// Lets time pass, with a fresh measurement before each tick.
+  /// Advances time by \p Time, with one tick per second and, if \p Measured, a
+  /// new measurement before each.
   void run(std::chrono::seconds Time, bool Measured = true) {
     for (int Second = 0; Second < Time.count(); ++Second) {
       Now_ += 1s;
@@ -73,8 +74,8 @@
     return !Set_.route(Caller, RegionId(From), alwaysHeadroom).Plan_.empty();
   }
 
-  /// \returns the callers that are moved, each asked often enough for the cap
-  /// on requests not to stand in the way.
+  /// \returns the moved callers; each sends enough requests that the cap on
+  /// requests does not stand in the way.
   std::set<std::uint64_t> movedCallers() {
     std::set<std::uint64_t> Moved;
     for (int Round = 0; Round < 6; ++Round)
@@ -85,7 +86,7 @@
   }
 };
 
-TEST(ShiftSet, followsThePlanWhereTheReceiverHasRoom) {
+TEST(ShiftSet, followsThePlanWhereTheReceiverHasFreeSlots) {
   Set_.setPlans(std::vector{planOf("p", "a", "b")});
   run(1s);
   expect(0.1, "moving");
@@ -93,10 +94,11 @@
   expect(0.5, "done");
 }
 
-// The receiving region fills up while a plan runs. Going on would overload it.
-// The plan holds, keeps whom it has moved, and goes on by single steps when
-// there is room again, although it is far behind its schedule by then.
-TEST(ShiftSet, holdsWhileTheReceiverLacksHeadroomAndDoesNotCatchUpAtOnce) {
+// The receiving region fills up while a plan runs, and further steps would
+// overload it. The plan holds, keeps the callers it has moved, and goes on by
+// single steps once slots are free again, although it is far behind its
+// schedule by then.
+TEST(ShiftSet, holdsWithoutHeadroomAndDoesNotCatchUpInOneJump) {
   Set_.setPlans(std::vector{planOf("p", "a", "b")});
   run(11s);
   expect(0.2, "moving");
@@ -110,8 +112,8 @@
   expect(0.3, "pace");
 }
 
-// Measurements of the receiver stop, as when its reports are cut off. Nobody
-// knows whether it has room. The plan holds until they come back.
+// Measurements of the receiver stop, for example because its reports are cut
+// off, so its free capacity is unknown. The plan holds until they return.
 TEST(ShiftSet, holdsWhileTheReceiverIsNotMeasured) {
   Set_.setPlans(std::vector{planOf("p", "a", "b")});
   run(1s);
@@ -121,7 +123,7 @@
   expect(0.2, "moving");
 }
 
-TEST(ShiftSet, aColdReceiverMakesSmallerSteps) {
+TEST(ShiftSet, aReceiverWithColdCachesGetsSmallerSteps) {
   View_.ReceiverFreeSlots_ = 20;
   Set_.setPlans(std::vector{planOf("p", "a", "b")});
   run(1s);
@@ -132,7 +134,7 @@
 }
 
 // Two plans move callers into one region at once. Each step fits by itself,
-// both together would not: the second gets what the first has left.
+// both together do not: the second plan gets what the first one left.
 TEST(ShiftSet, plansIntoOneRegionShareItsFreeSlots) {
   View_.ReceiverFreeSlots_ = 20;
   Set_.setPlans(std::vector{planOf("p", "a", "c"), planOf("q", "b", "c")});
@@ -141,7 +143,7 @@
   expect(0.05, "moving", 1);
 }
 
-TEST(ShiftSet, anAbortGoesBackAtThePaceAndOnlyIntoRoom) {
+TEST(ShiftSet, anAbortMovesBackAtThePaceAndOnlyIntoFreeSlots) {
   Set_.setPlans(std::vector{planOf("p", "a", "b")});
   run(100s);
   Set_.setPlans(std::vector{abortPlan(planOf("p", "a", "b"), Wall_)});
@@ -155,7 +157,7 @@
   expect(0, "aborted");
 }
 
-TEST(ShiftSet, aPlanThatIsTakenOutGoesBackStepByStep) {
+TEST(ShiftSet, aRemovedPlanMovesBackStepByStep) {
   Set_.setPlans(std::vector{planOf("p", "a", "b")});
   run(100s);
   Set_.setPlans({});
@@ -163,7 +165,7 @@
   expect(0.4, "aborting");
 }
 
-TEST(ShiftSet, aHostThatStartsLateBeginsWhereItsPeersAre) {
+TEST(ShiftSet, aHostThatStartsLateContinuesFromItsPeersShare) {
   Set_.setPlans(std::vector{planOf("p", "a", "b")});
   Wall_ += 100s;
   Set_.adoptPeerShare(PlanId("p"), 0.3);
@@ -171,9 +173,9 @@
   expect(0.4, "moving");
 }
 
-// A caller that flaps between two regions meets cold caches in both. Whoever is
-// moved at one share must stay moved at each greater one, and a step must move
-// no more callers than its size.
+// A caller that flaps between two regions finds cold caches in both. A caller
+// that is moved at one share must stay moved at each greater share, and a step
+// must move no more callers than its size.
 TEST(ShiftSet, callersMoveOnceAndInOneDirection) {
   Set_.setPlans(std::vector{planOf("p", "a", "b")});
   std::set<std::uint64_t> Before;
@@ -187,40 +189,41 @@
   }
 }
 
-// One caller sends a third of all requests and the hash moves it. The share of
+// One caller sends a third of all requests, and the hash moves it. The share of
 // moved callers is kept, but the share of moved requests would be far above the
-// cap. Counted request by request, it never is.
+// cap. Counted request by request it never is.
 TEST(ShiftSet, oneHeavyCallerDoesNotBreakTheCap) {
   for (std::uint64_t Seed = 0; Seed < 50; ++Seed) {
     Random Numbers(Seed);
-    ShiftSet Fresh;
+    ShiftSet Plans;
     Set_.setPlans({});
     ShiftPlan Plan = planOf("p", "a", "b");
     Plan.Cap_ = 0.1;
-    Fresh.setPlans(std::vector{Plan});
-    Fresh.adoptPeerShare(Plan.Id_, 0.1);
+    Plans.setPlans(std::vector{Plan});
+    Plans.adoptPeerShare(Plan.Id_, 0.1);
     int Moved = 0;
     for (int Total = 1; Total <= 2000; ++Total) {
       const bool Heavy = drawBelow(Numbers, 3) == 0;
       const std::uint64_t Caller = Heavy ? Seed : drawBelow(Numbers, 1000);
       const ShiftChoice Choice =
-          Fresh.route(Caller, RegionId("a"), alwaysHeadroom);
+          Plans.route(Caller, RegionId("a"), alwaysHeadroom);
       Moved += Choice.Plan_.empty() ? 0 : 1;
       CHECK(Moved <= 0.1 * Total + 1e-6);
     }
   }
 }
 
-// A plan, a second plan and a failover steer into one region at the same time.
-// Each has its own cap; the region's headroom is one. What any of them sends
-// takes a token of it, so their sum stays within it, whoever comes first.
+// Two plans and a failover steer requests into one region at the same time.
+// Each plan has its own cap, but there is only one headroom of the region.
+// Every steered request takes a token of it, so the sum stays within it in any
+// order.
 TEST(ShiftSet, plansAndFailoverTogetherStayWithinTheReceiversHeadroom) {
   for (std::uint64_t Seed = 0; Seed < 50; ++Seed) {
     Random Numbers(Seed);
-    ShiftSet Fresh;
-    Fresh.setPlans(std::vector{planOf("p", "a", "c"), planOf("q", "b", "c")});
-    Fresh.adoptPeerShare(PlanId("p"), 0.5);
-    Fresh.adoptPeerShare(PlanId("q"), 0.5);
+    ShiftSet Plans;
+    Plans.setPlans(std::vector{planOf("p", "a", "c"), planOf("q", "b", "c")});
+    Plans.adoptPeerShare(PlanId("p"), 0.5);
+    Plans.adoptPeerShare(PlanId("q"), 0.5);
     int Tokens = 300;
     int Steered = 0;
     const auto Take = [&Tokens](const RegionId &) {
@@ -235,7 +238,7 @@
       if (Cause == 2)
         Steered += Take(RegionId("c")) ? 1 : 0; // failover of a lost region
       else
-        Steered += Fresh.route(Caller, RegionId(Cause == 0 ? "a" : "b"), Take)
+        Steered += Plans.route(Caller, RegionId(Cause == 0 ? "a" : "b"), Take)
                            .Plan_.empty()
                        ? 0
                        : 1;
@@ -253,26 +256,26 @@
   DOUBLES_EQUAL(0.36, Moved, 0.03);
 }
 
-TEST_GROUP(ColdCost) {
-  ColdCost Cost_;
+TEST_GROUP(ColdCacheCost) {
+  ColdCacheCost Cost_;
   TimePoint Now_ = TimePoint(50s);
 
   void measure(std::chrono::milliseconds Own, std::chrono::milliseconds Moved) {
-    for (int Each = 0; Each < 300; ++Each) {
-      Cost_.ownTook(Own);
-      Cost_.movedTook(Moved, Now_);
+    for (int Sample = 0; Sample < 300; ++Sample) {
+      Cost_.recordOwn(Own);
+      Cost_.recordMoved(Moved, Now_);
     }
   }
 };
 
-TEST(ColdCost, unmeasuredIsAGuessOnTheSafeSide) {
-  DOUBLES_EQUAL(ColdCost::Unmeasured, Cost_.factor(Now_), 1e-9);
+TEST(ColdCacheCost, withoutMeasurementsTheFactorIsTheDefault) {
+  DOUBLES_EQUAL(ColdCacheCost::DefaultFactor, Cost_.factor(Now_), 1e-9);
 }
 
-TEST(ColdCost, followsWhatIsMeasuredAndForgetsIt) {
+TEST(ColdCacheCost, followsMeasurementsAndDecaysToTheDefault) {
   measure(20ms, 60ms);
   DOUBLES_EQUAL(3, Cost_.factor(Now_), 0.1);
   measure(20ms, 20ms);
   DOUBLES_EQUAL(1, Cost_.factor(Now_), 0.1);
-  DOUBLES_EQUAL(ColdCost::Unmeasured, Cost_.factor(Now_ + 5h), 0.1);
+  DOUBLES_EQUAL(ColdCacheCost::DefaultFactor, Cost_.factor(Now_ + 5h), 0.1);
 }
