--- a/apps/lycheed/Daemon.cpp
+++ b/apps/lycheed/Daemon.cpp
@@ -253,7 +253,7 @@
   const std::shared_ptr<const settings::Intent> Current = intent();
   Read.SettingsVersion_ = Current ? Current->Version_ : 0;
   Read.SettingsAge_ = Fleet_.settingsAge(Now);
-  Read.LeaseStands_ = Now < Fleet_.guard().expiry();
+  Read.LeaseStands_ = Now < Fleet_.leaseGuard().expiry();
   Read.Epoch_ = Exchange_.epoch();
   Read.EpochSettled_ = Exchange_.settled();
   Read.InFlight_ = Gateway_.inFlight();
@@ -335,7 +335,7 @@
   const std::shared_ptr<const settings::Intent> Current = intent();
   Status.SettingsVersion_ = Current ? Current->Version_ : 0;
   Status.SettingsAge_ = Fleet_.settingsAge(Now).value_or(base::Duration::max());
-  Status.LeaseValid_ = Now < Fleet_.guard().expiry();
+  Status.LeaseValid_ = Now < Fleet_.leaseGuard().expiry();
   Status.Stopping_ = Directory_.leaving();
   Status.RequestsInFlight_ = Gateway_.inFlight();
   return Status;
--- a/libs/fleet/Codec.cpp
+++ b/libs/fleet/Codec.cpp
@@ -34,106 +34,107 @@
 bool readMembers(const Json::Value &From, std::vector<Member> &To) {
   if (!From.isArray())
     return false;
-  for (const Json::Value &Each : From) {
-    std::optional<Member> Read = Codec::toMember(Each);
-    if (!Read)
+  for (const Json::Value &Entry : From) {
+    std::optional<Member> Parsed = Codec::toMember(Entry);
+    if (!Parsed)
       return false;
-    To.push_back(std::move(*Read));
+    To.push_back(std::move(*Parsed));
   }
   return true;
 }
 
 Json::Value membersToJson(const std::vector<Member> &From) {
-  Json::Value Made(Json::arrayValue);
-  for (const Member &Each : From)
-    Made.append(Codec::toJson(Each));
-  return Made;
+  Json::Value Result(Json::arrayValue);
+  for (const Member &Entry : From)
+    Result.append(Codec::toJson(Entry));
+  return Result;
 }
 
 } // namespace
 
 Json::Value Codec::toJson(const Member &From) {
-  Json::Value Made(Json::objectValue);
-  Made["host"] = From.Host_.name();
-  Made["region"] = From.Region_.name();
-  Made["peers"] = From.PeerAddress_;
-  Made["callers"] = From.CallerAddress_;
-  Made["incarnation"] = Json::UInt64(From.Incarnation_);
-  Made["sequence"] = Json::UInt64(From.Sequence_);
-  Made["admitted"] = Json::UInt64(From.AdmissionGeneration_);
-  Made["known"] = Json::UInt64(From.KnownGeneration_);
+  Json::Value Result(Json::objectValue);
+  Result["host"] = From.Host_.name();
+  Result["region"] = From.Region_.name();
+  Result["peers"] = From.PeerAddress_;
+  Result["callers"] = From.CallerAddress_;
+  Result["incarnation"] = Json::UInt64(From.Incarnation_);
+  Result["sequence"] = Json::UInt64(From.Sequence_);
+  Result["admitted"] = Json::UInt64(From.AdmissionGeneration_);
+  Result["known"] = Json::UInt64(From.KnownGeneration_);
   if (From.Leaving_)
-    Made["leaving"] = true;
-  return Made;
+    Result["leaving"] = true;
+  return Result;
 }
 
 std::optional<Member> Codec::toMember(const Json::Value &From) {
-  Member Made;
-  const bool Read = From.isObject() && readId(From, "host", Made.Host_) &&
-                    readId(From, "region", Made.Region_) &&
-                    readText(From, "peers", Made.PeerAddress_) &&
-                    readText(From, "callers", Made.CallerAddress_) &&
-                    readNumber(From, "incarnation", Made.Incarnation_) &&
-                    readNumber(From, "sequence", Made.Sequence_) &&
-                    readNumber(From, "admitted", Made.AdmissionGeneration_) &&
-                    readNumber(From, "known", Made.KnownGeneration_);
-  if (!Read || Made.Host_.empty())
+  Member Result;
+  const bool IsValid =
+      From.isObject() && readId(From, "host", Result.Host_) &&
+      readId(From, "region", Result.Region_) &&
+      readText(From, "peers", Result.PeerAddress_) &&
+      readText(From, "callers", Result.CallerAddress_) &&
+      readNumber(From, "incarnation", Result.Incarnation_) &&
+      readNumber(From, "sequence", Result.Sequence_) &&
+      readNumber(From, "admitted", Result.AdmissionGeneration_) &&
+      readNumber(From, "known", Result.KnownGeneration_);
+  if (!IsValid || Result.Host_.empty())
     return std::nullopt;
-  Made.Leaving_ = From["leaving"].isBool() && From["leaving"].asBool();
-  return Made;
+  Result.Leaving_ = From["leaving"].isBool() && From["leaving"].asBool();
+  return Result;
 }
 
 Json::Value Codec::toJson(const ZoneRecord &From) {
-  Json::Value Made(Json::objectValue);
-  Made["zone"] = From.Zone_.name();
-  Made["generation"] = Json::UInt64(From.Generation_);
-  Made["relay"] = From.Relay_.name();
-  Made["members"] = membersToJson(From.Members_);
-  return Made;
+  Json::Value Result(Json::objectValue);
+  Result["zone"] = From.Zone_.name();
+  Result["generation"] = Json::UInt64(From.Generation_);
+  Result["relay"] = From.Relay_.name();
+  Result["members"] = membersToJson(From.Members_);
+  return Result;
 }
 
 std::optional<ZoneRecord> Codec::toZoneRecord(const Json::Value &From) {
-  ZoneRecord Made;
-  const bool Read = From.isObject() && readId(From, "zone", Made.Zone_) &&
-                    readNumber(From, "generation", Made.Generation_) &&
-                    readId(From, "relay", Made.Relay_) &&
-                    readMembers(From["members"], Made.Members_);
-  if (!Read)
+  ZoneRecord Result;
+  const bool IsValid = From.isObject() && readId(From, "zone", Result.Zone_) &&
+                       readNumber(From, "generation", Result.Generation_) &&
+                       readId(From, "relay", Result.Relay_) &&
+                       readMembers(From["members"], Result.Members_);
+  if (!IsValid)
     return std::nullopt;
-  return Made;
+  return Result;
 }
 
 Json::Value Codec::toJson(const Directory &From) {
-  Json::Value Made(Json::objectValue);
-  Made["epoch"] = Json::UInt64(From.Epoch_);
+  Json::Value Result(Json::objectValue);
+  Result["epoch"] = Json::UInt64(From.Epoch_);
   Json::Value Zones(Json::objectValue);
-  for (const auto &[Id, Each] : From.Zones_) {
+  for (const auto &[Id, Entry] : From.Zones_) {
     Json::Value &Zone = Zones[Id.name()];
-    Zone["generation"] = Json::UInt64(Each.Generation_);
-    Zone["relay"] = Each.Relay_.name();
-    Zone["members"] = membersToJson(Each.Members_);
+    Zone["generation"] = Json::UInt64(Entry.Generation_);
+    Zone["relay"] = Entry.Relay_.name();
+    Zone["members"] = membersToJson(Entry.Members_);
   }
-  Made["zones"] = std::move(Zones);
-  return Made;
+  Result["zones"] = std::move(Zones);
+  return Result;
 }
 
 std::optional<Directory> Codec::toDirectory(const Json::Value &From) {
-  Directory Made;
-  if (!From.isObject() || !readNumber(From, "epoch", Made.Epoch_) ||
+  Directory Result;
+  if (!From.isObject() || !readNumber(From, "epoch", Result.Epoch_) ||
       !From["zones"].isObject())
     return std::nullopt;
   const Json::Value &Zones = From["zones"];
   for (const std::string &Name : Zones.getMemberNames()) {
-    const Json::Value &Each = Zones[Name];
-    Directory::Zone &Zone = Made.Zones_[base::ZoneId(Name)];
-    const bool Read = Each.isObject() &&
-                      readNumber(Each, "generation", Zone.Generation_) &&
-                      readId(Each, "relay", Zone.Relay_) &&
-                      readMembers(Each["members"], Zone.Members_);
-    if (!Read)
+    const Json::Value &Entry = Zones[Name];
+    Directory::Zone &Zone = Result.Zones_[base::ZoneId(Name)];
+    const bool IsValid = Entry.isObject() &&
+                         readNumber(Entry, "generation", Zone.Generation_) &&
+                         readId(Entry, "relay", Zone.Relay_) &&
+                         readMembers(Entry["members"], Zone.Members_);
+    if (!IsValid)
       return std::nullopt;
   }
-  return Made;
+  return Result;
 }
 
 std::string Codec::write(const Json::Value &From) {
@@ -143,16 +144,16 @@
 }
 
 std::optional<Json::Value> Codec::parse(std::string_view Text) {
-  Json::Value Made;
+  Json::Value Result;
   Json::CharReaderBuilder Builder;
   Builder["collectComments"] = false;
   const std::unique_ptr<Json::CharReader> Reader(Builder.newCharReader());
-  const bool Read =
-      Reader->parse(Text.data(), Text.data() + Text.size(), &Made, nullptr) &&
-      Made.isObject();
-  if (!Read)
+  const bool IsValid =
+      Reader->parse(Text.data(), Text.data() + Text.size(), &Result, nullptr) &&
+      Result.isObject();
+  if (!IsValid)
     return std::nullopt;
-  return Made;
+  return Result;
 }
 
 } // namespace lychee::fleet
--- a/libs/fleet/Codec.h
+++ b/libs/fleet/Codec.h
@@ -12,8 +12,9 @@
 
 namespace lychee::fleet {
 
-/// JSON of what hosts store and send. Decoding takes nothing for granted: text
-/// that another release or a fault wrote gives an error, never a half object.
+/// Converts fleet records to and from the JSON that hosts store and send.
+/// Decoding validates its input: text written by another release or damaged on
+/// the way gives an error, never a partially filled object.
 class Codec {
 public:
   Codec() = delete;
@@ -26,10 +27,11 @@
   static std::optional<ZoneRecord> toZoneRecord(const Json::Value &From);
   static std::optional<Directory> toDirectory(const Json::Value &From);
 
-  /// \returns compact text.
+  /// \returns \p From as JSON text without whitespace.
   static std::string write(const Json::Value &From);
 
-  /// \returns the object in \p Text, or nothing where it is not one.
+  /// \returns the JSON object in \p Text; nothing if \p Text is not a JSON
+  /// object.
   static std::optional<Json::Value> parse(std::string_view Text);
 };
 
--- a/libs/fleet/Directory.cpp
+++ b/libs/fleet/Directory.cpp
@@ -4,24 +4,24 @@
 
 std::size_t Directory::hostCount() const noexcept {
   std::size_t Count = 0;
-  for (const auto &[Id, Each] : Zones_)
-    Count += Each.Members_.size();
+  for (const auto &[Id, Entry] : Zones_)
+    Count += Entry.Members_.size();
   return Count;
 }
 
 const Member *Directory::find(const base::HostId &Host) const noexcept {
-  for (const auto &[Id, Each] : Zones_)
-    for (const Member &Listed : Each.Members_)
+  for (const auto &[Id, Entry] : Zones_)
+    for (const Member &Listed : Entry.Members_)
       if (Listed.Host_ == Host)
         return &Listed;
   return nullptr;
 }
 
-std::optional<Directory> Directory::with(const ZoneRecord &Record) const {
+std::optional<Directory> Directory::withZone(const ZoneRecord &Record) const {
   const auto Found = Zones_.find(Record.Zone_);
-  const bool Known = Found != Zones_.end();
+  const bool IsKnown = Found != Zones_.end();
   const bool SameHosts =
-      Known && Found->second.Generation_ >= Record.Generation_;
+      IsKnown && Found->second.Generation_ >= Record.Generation_;
   if (SameHosts && Found->second.Relay_ == Record.Relay_)
     return std::nullopt;
   Directory Next = *this;
@@ -30,10 +30,11 @@
   if (!SameHosts) {
     Changed.Generation_ = Record.Generation_;
     Changed.Members_ = Record.Members_;
-    // Heartbeats change all the time; the directory says who is there.
-    for (Member &Each : Changed.Members_) {
-      Each.Sequence_ = 0;
-      Each.KnownGeneration_ = 0;
+    // The directory lists the hosts only. Heartbeat state changes all the time
+    // and is cleared.
+    for (Member &Entry : Changed.Members_) {
+      Entry.Sequence_ = 0;
+      Entry.KnownGeneration_ = 0;
     }
     ++Next.Epoch_;
   }
--- a/libs/fleet/Directory.h
+++ b/libs/fleet/Directory.h
@@ -12,8 +12,8 @@
 
 namespace lychee::fleet {
 
-/// All hosts of the fleet by zone, as one object of the store. It changes only
-/// when a host comes or goes or a relay changes, never by a renewal.
+/// All hosts of the fleet by zone, stored as one object. It changes only when
+/// the members or the relay of a zone change, never when leases are renewed.
 struct Directory {
   static constexpr std::string_view Path = "fleet/directory";
 
@@ -25,16 +25,17 @@
     bool operator==(const Zone &) const = default;
   };
 
-  /// The membership epoch: rises whenever a host comes or goes.
+  /// The membership epoch: rises when a zone is added or a zone's generation
+  /// rises.
   std::uint64_t Epoch_ = 0;
   std::map<base::ZoneId, Zone> Zones_;
 
   std::size_t hostCount() const noexcept;
   const Member *find(const base::HostId &Host) const noexcept;
 
-  /// \returns the directory with \p Record's zone as it is now; nothing where
-  /// that changes nothing.
-  std::optional<Directory> with(const ZoneRecord &Record) const;
+  /// \returns the directory updated with the zone in \p Record; nothing if that
+  /// changes nothing.
+  std::optional<Directory> withZone(const ZoneRecord &Record) const;
 
   bool operator==(const Directory &) const = default;
 };
--- a/libs/fleet/FleetHandlers.cpp
+++ b/libs/fleet/FleetHandlers.cpp
@@ -9,118 +9,121 @@
 
 namespace {
 
-/// JSON-RPC's code for parameters that a method cannot use.
+/// JSON-RPC error code "Invalid params".
 constexpr int InvalidParameters = -32602;
 
-/// An answer with chunks stops after the one that reaches this; the asker asks
-/// again for the rest.
+/// An answer takes no further chunk once its chunks reach this size, in bytes.
+/// The caller requests the rest in another call.
 constexpr std::size_t ChunkAnswerBytes = 1 << 20;
 
 using JsonHandler = std::function<Json::Value(const RpcCaller &Caller,
-                                              const Json::Value &Asked)>;
+                                              const Json::Value &Request)>;
 
 void bindJson(RpcDispatcher &To, const std::string &Method,
-              JsonHandler Answers) {
-  To.bind(Method, [Answers = std::move(Answers)](const RpcCaller &Caller,
-                                                 const std::string &Text) {
-    const auto Asked = Codec::parse(Text);
-    if (!Asked)
+              JsonHandler Handle) {
+  To.bind(Method, [Handle = std::move(Handle)](const RpcCaller &Caller,
+                                               const std::string &Text) {
+    const auto Request = Codec::parse(Text);
+    if (!Request)
       return RpcOutcome{InvalidParameters, "parameters are no JSON object"};
-    return RpcOutcome{0, Codec::write(Answers(Caller, *Asked))};
+    return RpcOutcome{0, Codec::write(Handle(Caller, *Request))};
   });
 }
 
-Json::Value rootOf(FleetState &State) {
-  Json::Value Made(Json::objectValue);
+Json::Value rootAnswer(FleetState &State) {
+  Json::Value Result(Json::objectValue);
   State.withSettings([&](const SettingsReplica &Replica) {
-    if (Replica.inForce() == 0)
+    if (Replica.appliedVersion() == 0)
       return;
-    Made["version"] = Json::UInt64(Replica.inForce());
-    Made["root"] = Replica.rootText();
+    Result["version"] = Json::UInt64(Replica.appliedVersion());
+    Result["root"] = Replica.rootText();
   });
-  return Made;
+  return Result;
 }
 
-Json::Value chunksOf(FleetState &State, const Json::Value &Asked) {
-  Json::Value Made(Json::objectValue);
-  Made["chunks"] = Json::Value(Json::objectValue);
-  if (!Asked["hashes"].isArray())
-    return Made;
+Json::Value chunkAnswer(FleetState &State, const Json::Value &Request) {
+  Json::Value Result(Json::objectValue);
+  Result["chunks"] = Json::Value(Json::objectValue);
+  if (!Request["hashes"].isArray())
+    return Result;
   State.withSettings([&](const SettingsReplica &Replica) {
     std::size_t Bytes = 0;
-    for (const Json::Value &Hash : Asked["hashes"]) {
+    for (const Json::Value &Hash : Request["hashes"]) {
       const std::string *Text =
           Hash.isString() ? Replica.chunk(Hash.asString()) : nullptr;
       if (!Text || Bytes >= ChunkAnswerBytes)
         continue;
       Bytes += Text->size();
-      Made["chunks"][Hash.asString()] = *Text;
+      Result["chunks"][Hash.asString()] = *Text;
     }
   });
-  return Made;
+  return Result;
 }
 
 using PeerAction = std::function<void(const std::string &)>;
 
-Json::Value takeHint(FleetState &State, SettingsSpread &Spread,
-                     const PeerAction &BeatSoon, const Json::Value &Asked) {
-  Json::Value Nothing(Json::objectValue);
-  if (!Asked["from"].isString())
-    return Nothing;
-  const std::string From = Asked["from"].asString();
-  const auto IsPast = [&Asked](const char *Name, std::uint64_t Known) {
-    return Asked[Name].isUInt64() && Asked[Name].asUInt64() > Known;
+Json::Value handleHint(FleetState &State, SettingsPropagator &Propagator,
+                       const PeerAction &FetchRecord,
+                       const Json::Value &Request) {
+  Json::Value Empty(Json::objectValue);
+  if (!Request["from"].isString())
+    return Empty;
+  const std::string From = Request["from"].asString();
+  const auto IsNewer = [&Request](const char *Name, std::uint64_t Known) {
+    return Request[Name].isUInt64() && Request[Name].asUInt64() > Known;
   };
-  if (IsPast("settings", State.inForce()))
-    Spread.fetchFrom(From);
+  if (IsNewer("settings", State.appliedSettingsVersion()))
+    Propagator.fetchFrom(From);
   const bool SameZone =
-      Asked["zone"].isString() && State.isOwnZone(Asked["zone"].asString());
-  if (SameZone && IsPast("record", State.versions().Record_))
-    BeatSoon(From);
-  return Nothing;
+      Request["zone"].isString() && State.isOwnZone(Request["zone"].asString());
+  if (SameZone && IsNewer("record", State.versions().Record_))
+    FetchRecord(From);
+  return Empty;
 }
 
 } // namespace
 
 void FleetHandlers::bind(RpcDispatcher &To, FleetState &State,
-                         SettingsSpread &Spread, const PeerAction &BeatSoon) {
-  const auto Hint = [&State, &Spread, BeatSoon](const RpcCaller &,
-                                                const Json::Value &Asked) {
-    return takeHint(State, Spread, BeatSoon, Asked);
+                         SettingsPropagator &Propagator,
+                         const PeerAction &FetchRecord) {
+  const auto Hint = [&State, &Propagator, FetchRecord](
+                        const RpcCaller &, const Json::Value &Request) {
+    return handleHint(State, Propagator, FetchRecord, Request);
   };
   bindJson(To, "fleet.hint", Hint);
   bindJson(To, "fleet.beat",
-           [&State, Hint](const RpcCaller &Caller, const Json::Value &Asked) {
-             Json::Value Made =
-                 State.answerBeat(Asked, base::SystemClock::monotonicNow());
-             Hint(Caller, Asked);
-             return Made;
+           [&State, Hint](const RpcCaller &Caller, const Json::Value &Request) {
+             Json::Value Result = State.answerHeartbeat(
+                 Request, base::SystemClock::monotonicNow());
+             Hint(Caller, Request);
+             return Result;
            });
   bindJson(To, "fleet.pledge",
-           [&State](const RpcCaller &Caller, const Json::Value &Asked) {
-             const Json::Value &Admitted = Asked["admitted"];
-             Json::Value Made(Json::objectValue);
-             Made["pledged"] =
+           [&State](const RpcCaller &Caller, const Json::Value &Request) {
+             const Json::Value &Admitted = Request["admitted"];
+             Json::Value Result(Json::objectValue);
+             Result["pledged"] =
                  Admitted.isUInt64() &&
-                 State.pledge(base::HostId(Caller.Host_), Admitted.asUInt64(),
-                              base::SystemClock::monotonicNow());
-             return Made;
+                 State.grantPledge(base::HostId(Caller.Host_),
+                                   Admitted.asUInt64(),
+                                   base::SystemClock::monotonicNow());
+             return Result;
            });
   bindJson(To, "fleet.leave",
            [&State](const RpcCaller &Caller, const Json::Value &) {
-             State.goodbye(base::HostId(Caller.Host_));
+             State.handleLeave(base::HostId(Caller.Host_));
              return Json::Value(Json::objectValue);
            });
   bindJson(To, "fleet.views", [&State](const RpcCaller &, const Json::Value &) {
-    return State.views(base::SystemClock::monotonicNow());
+    return State.freshnessViews(base::SystemClock::monotonicNow());
   });
   bindJson(To, "settings.root",
            [&State](const RpcCaller &, const Json::Value &) {
-             return rootOf(State);
+             return rootAnswer(State);
            });
   bindJson(To, "settings.chunks",
-           [&State](const RpcCaller &, const Json::Value &Asked) {
-             return chunksOf(State, Asked);
+           [&State](const RpcCaller &, const Json::Value &Request) {
+             return chunkAnswer(State, Request);
            });
 }
 
--- a/libs/fleet/FleetHandlers.h
+++ b/libs/fleet/FleetHandlers.h
@@ -2,7 +2,7 @@
 #define LYCHEE_FLEET_FLEETHANDLERS_H
 
 #include "fleet/FleetState.h"
-#include "fleet/SettingsSpread.h"
+#include "fleet/SettingsPropagator.h"
 #include "fleet/rpc/RpcDispatcher.h"
 
 #include <functional>
@@ -10,18 +10,19 @@
 
 namespace lychee::fleet {
 
-/// Answers what peers ask of a host: heartbeats, pledges, goodbyes, views of
-/// freshness, hints, and the settings' root and chunks. No handler waits for
-/// anything but the state's lock. \see FleetNode
+/// Binds the RPC methods that a host offers to its peers: heartbeats, pledges,
+/// leaving, freshness views, hints, and the settings root and chunks. Handlers
+/// block on nothing but the state's lock. \see FleetNode
 class FleetHandlers {
 public:
   FleetHandlers() = delete;
 
-  /// \param State, Spread  outlive the dispatcher's calls.
-  /// \param BeatSoon  sends a heartbeat to the peer at IP:PORT, which has a
-  /// newer record of this host's zone, and comes back with it.
-  static void bind(RpcDispatcher &To, FleetState &State, SettingsSpread &Spread,
-                   const std::function<void(const std::string &)> &BeatSoon);
+  /// \param State, Propagator  must outlive all calls of the dispatcher.
+  /// \param FetchRecord  sends a heartbeat to the peer at IP:PORT, which has a
+  /// newer record of this host's zone; the answer carries that record.
+  static void bind(RpcDispatcher &To, FleetState &State,
+                   SettingsPropagator &Propagator,
+                   const std::function<void(const std::string &)> &FetchRecord);
 };
 
 } // namespace lychee::fleet
--- a/libs/fleet/FleetListeners.h
+++ b/libs/fleet/FleetListeners.h
@@ -9,12 +9,12 @@
 
 namespace lychee::fleet {
 
-/// What the daemon wants to hear of the fleet. Called from I/O threads, one at
-/// a time; must not block. Each may be empty.
+/// Callbacks for changes of the fleet. Called from I/O threads, one at a time;
+/// they must not block. Each may be empty.
 struct FleetListeners {
   std::function<void(const settings::SettingsTree &)> SettingsApplied_;
   std::function<void(const Directory &)> DirectoryChanged_;
-  /// One event as a line of key=value pairs.
+  /// Receives one event as a line of key=value pairs.
   std::function<void(std::string_view)> Log_;
 };
 
--- a/libs/fleet/FleetNode.cpp
+++ b/libs/fleet/FleetNode.cpp
@@ -20,30 +20,34 @@
 
 namespace {
 
-/// Within a heartbeat's span, so that a silent peer costs one heartbeat.
+/// Shorter than the heartbeat interval, so that an unresponsive peer costs one
+/// heartbeat.
 constexpr base::Duration CallTimeout = std::chrono::milliseconds(800);
 
-/// The store's word on the newest settings is sought this often; with a
-/// heartbeat on top, every host knows within half of the 5 s for keys.
-constexpr base::Duration CheckEvery = std::chrono::seconds(1);
-constexpr base::Duration DirectoryEvery = std::chrono::seconds(1);
-constexpr base::Duration WatchWait = std::chrono::seconds(20);
-
-/// Settings older than this are confirmed by all hosts' word if possible, and
-/// heartbeats come more often: three steps of 250 ms fit below 5 s.
-constexpr base::Duration StaleAfter = std::chrono::seconds(2);
-constexpr int BeatsWhenStale = 4;
-
-/// Superiors tried within one heartbeat.
-constexpr std::size_t TriesPerBeat = 3;
-/// Heartbeats that reach nobody before a host looks at the store itself.
-constexpr int BeatsBeforeStore = 2;
+/// The newest settings version is read from the store this often. Together with
+/// one heartbeat interval every host learns of it within half of the 5 s
+/// allowed for withdrawn keys.
+constexpr base::Duration SettingsCheckInterval = std::chrono::seconds(1);
+constexpr base::Duration DirectoryCheckInterval = std::chrono::seconds(1);
+constexpr base::Duration WatchTimeout = std::chrono::seconds(20);
+
+/// Settings older than this are confirmed by a freshness vote of all hosts if
+/// possible, and heartbeats are sent more often: three steps of 250 ms fit
+/// below 5 s.
+constexpr base::Duration SettingsStaleAge = std::chrono::seconds(2);
+constexpr int StaleHeartbeatFactor = 4;
+
+/// Recipients tried for one heartbeat.
+constexpr std::size_t MaxRecipients = 3;
+/// A host reads the zone record from the store itself once more heartbeats in a
+/// row than this have reached nobody.
+constexpr int MaxFailedHeartbeats = 2;
 
 base::TimePoint now() { return base::SystemClock::monotonicNow(); }
 
-asio::awaitable<void> waitFor(base::Duration Span) {
+asio::awaitable<void> sleepFor(base::Duration Delay) {
   asio::steady_timer Timer(co_await asio::this_coro::executor);
-  Timer.expires_after(Span);
+  Timer.expires_after(Delay);
   co_await Timer.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
@@ -53,23 +57,23 @@
 
 } // namespace
 
-FleetNode::FleetNode(asio::io_context &Context, store::Store &Used,
+FleetNode::FleetNode(asio::io_context &Context, store::Store &Store,
                      PeerClient &Peers, RpcDispatcher &Handlers,
                      FleetNodeOptions Options, FleetListeners Listeners)
-    : Strand_(asio::make_strand(Context)), Store_(Used), Peers_(Peers),
+    : Strand_(asio::make_strand(Context)), Store_(Store), Peers_(Peers),
       Options_(std::move(Options)), Listeners_(std::move(Listeners)),
       State_(Options_.LeaseTiming_, Options_.Zone_, Options_.Self_, now()),
-      Spread_(Strand_, State_, Store_, Peers_, Listeners_,
-              Options_.RandomSeed_),
+      Propagator_(Strand_, State_, Store_, Peers_, Listeners_,
+                  Options_.RandomSeed_),
       Random_(Options_.RandomSeed_) {
-  FleetHandlers::bind(Handlers, State_, Spread_,
-                      [this](const std::string &From) {
-                        asio::co_spawn(Strand_, beatBack(From), asio::detached);
-                      });
+  FleetHandlers::bind(
+      Handlers, State_, Propagator_, [this](const std::string &From) {
+        asio::co_spawn(Strand_, fetchRecordFrom(From), asio::detached);
+      });
 }
 
 void FleetNode::start() {
-  asio::co_spawn(Strand_, beatLoop(), asio::detached);
+  asio::co_spawn(Strand_, heartbeatLoop(), asio::detached);
   asio::co_spawn(Strand_, recordLoop(), asio::detached);
   asio::co_spawn(Strand_, directoryLoop(), asio::detached);
   asio::co_spawn(Strand_, settingsLoop(), asio::detached);
@@ -82,120 +86,126 @@
       [Now](const SettingsReplica &Replica) { return Replica.age(Now); });
 }
 
-base::Duration FleetNode::beatSpan() {
+base::Duration FleetNode::heartbeatInterval() {
   const auto Age = settingsAge(now());
-  const base::Duration Span = Options_.LeaseTiming_.HeartbeatInterval_;
-  return Age && *Age < StaleAfter ? Span : Span / BeatsWhenStale;
+  const base::Duration Interval = Options_.LeaseTiming_.HeartbeatInterval_;
+  return Age && *Age < SettingsStaleAge ? Interval
+                                        : Interval / StaleHeartbeatFactor;
 }
 
-asio::awaitable<void> FleetNode::beatLoop() {
+asio::awaitable<void> FleetNode::heartbeatLoop() {
   while (!Stopped_) {
-    co_await beatOnce();
+    co_await sendHeartbeat();
     if (State_.needsPledges(now()))
-      for (const Member &Each : State_.zonePeers())
-        asio::co_spawn(Strand_, askPledge(Each), asio::detached);
-    State_.vote(now());
-    tellDirectory();
-    co_await waitFor(beatSpan());
+      for (const Member &Peer : State_.zonePeers())
+        asio::co_spawn(Strand_, requestPledge(Peer), asio::detached);
+    State_.applyFreshnessVote(now());
+    announceDirectory();
+    co_await sleepFor(heartbeatInterval());
   }
 }
 
-asio::awaitable<void> FleetNode::beatOnce() {
-  const std::string Request = Codec::write(State_.beat(now()));
-  std::vector<Member> Superiors = State_.superiors();
-  bool Heard = Superiors.empty();
-  for (std::size_t Try = 0; Try < Superiors.size() && Try < TriesPerBeat;
-       ++Try) {
-    Heard = co_await beatTo(Superiors[Try].PeerAddress_, Request);
-    if (Heard)
+asio::awaitable<void> FleetNode::sendHeartbeat() {
+  const std::string Request = Codec::write(State_.makeHeartbeat(now()));
+  std::vector<Member> Recipients = State_.heartbeatRecipients();
+  bool Delivered = Recipients.empty();
+  for (std::size_t Attempt = 0;
+       Attempt < Recipients.size() && Attempt < MaxRecipients; ++Attempt) {
+    Delivered =
+        co_await sendHeartbeatTo(Recipients[Attempt].PeerAddress_, Request);
+    if (Delivered)
       break;
   }
-  BeatsFailed_ = Heard ? 0 : BeatsFailed_ + 1;
-  if (State_.talksToStore() || !Heard)
-    co_await compareElsewhere(Request);
+  FailedHeartbeats_ = Delivered ? 0 : FailedHeartbeats_ + 1;
+  if (State_.talksToStore() || !Delivered)
+    co_await syncOtherZone(Request);
 }
 
-/// Anti-entropy: one host of another zone, or a seed, drawn anew each time.
-asio::awaitable<void> FleetNode::compareElsewhere(std::string Request) {
-  const std::vector<std::string> Others = othersElsewhere();
+/// Anti-entropy: exchanges versions with one host of another zone, or with a
+/// seed peer, chosen at random each time.
+asio::awaitable<void> FleetNode::syncOtherZone(std::string Request) {
+  const std::vector<std::string> Others = otherZonePeers();
   if (Others.empty())
     co_return;
   const std::string &Peer = Others[base::drawBelow(
       Random_, static_cast<std::uint32_t>(Others.size()))];
-  co_await beatTo(Peer, std::move(Request));
+  co_await sendHeartbeatTo(Peer, std::move(Request));
   const auto Age = settingsAge(now());
-  if (!Age || *Age >= StaleAfter)
-    co_await askViews(Peer);
+  if (!Age || *Age >= SettingsStaleAge)
+    co_await requestFreshnessViews(Peer);
 }
 
-std::vector<std::string> FleetNode::othersElsewhere() const {
-  std::vector<std::string> Found;
-  for (const auto &[Zone, Each] : State_.directory().Zones_)
+std::vector<std::string> FleetNode::otherZonePeers() const {
+  std::vector<std::string> Addresses;
+  for (const auto &[Zone, Entry] : State_.directory().Zones_)
     if (Zone != Options_.Zone_)
-      for (const Member &Listed : Each.Members_)
-        Found.push_back(Listed.PeerAddress_);
-  if (!Found.empty())
-    return Found;
-  for (const std::string &Seed : Options_.SeedPeers_)
-    if (Seed != Options_.Self_.PeerAddress_)
-      Found.push_back(Seed);
-  return Found;
+      for (const Member &Listed : Entry.Members_)
+        Addresses.push_back(Listed.PeerAddress_);
+  if (!Addresses.empty())
+    return Addresses;
+  for (const std::string &Address : Options_.SeedPeers_)
+    if (Address != Options_.Self_.PeerAddress_)
+      Addresses.push_back(Address);
+  return Addresses;
 }
 
-asio::awaitable<bool> FleetNode::beatTo(std::string Peer, std::string Request) {
-  const base::TimePoint AskedAt = now();
+asio::awaitable<bool> FleetNode::sendHeartbeatTo(std::string Peer,
+                                                 std::string Request) {
+  const base::TimePoint SentAt = now();
   base::Error Last;
   const std::optional<std::string> Answer = co_await Peers_.call(
       Peer, "fleet.beat", std::move(Request), CallTimeout, Last);
   const auto Parsed = Answer ? Codec::parse(*Answer) : std::nullopt;
   if (!Parsed)
     co_return false;
-  if (State_.beatAnswered(*Parsed, AskedAt, now()))
-    Spread_.fetchFrom(Peer);
+  if (State_.handleHeartbeatAnswer(*Parsed, SentAt, now()))
+    Propagator_.fetchFrom(Peer);
   co_return true;
 }
 
-asio::awaitable<void> FleetNode::beatBack(std::string Peer) {
-  co_await beatTo(std::move(Peer), Codec::write(State_.beat(now())));
+asio::awaitable<void> FleetNode::fetchRecordFrom(std::string Peer) {
+  co_await sendHeartbeatTo(std::move(Peer),
+                           Codec::write(State_.makeHeartbeat(now())));
 }
 
-/// A relay that was taken over knows no superior, and hears of no other relay
-/// while it is cut off from the store: the new one tells the zone itself.
-asio::awaitable<void> FleetNode::hintRecord(std::string Peer) {
-  Json::Value Made(Json::objectValue);
-  Made["zone"] = Options_.Zone_.name();
-  Made["from"] = Options_.Self_.PeerAddress_;
-  Made["record"] = Json::UInt64(State_.versions().Record_);
+/// A relay that was replaced has nobody to send heartbeats to, and does not
+/// learn of the new relay while it is cut off from the store. Hence the new
+/// relay announces its record to the zone.
+asio::awaitable<void> FleetNode::sendRecordHint(std::string Peer) {
+  Json::Value Message(Json::objectValue);
+  Message["zone"] = Options_.Zone_.name();
+  Message["from"] = Options_.Self_.PeerAddress_;
+  Message["record"] = Json::UInt64(State_.versions().Record_);
   base::Error Last;
-  co_await Peers_.call(std::move(Peer), "fleet.hint", Codec::write(Made),
+  co_await Peers_.call(std::move(Peer), "fleet.hint", Codec::write(Message),
                        CallTimeout, Last);
 }
 
-asio::awaitable<void> FleetNode::askPledge(Member Peer) {
-  Json::Value Asked(Json::objectValue);
-  Asked["admitted"] = Json::UInt64(State_.admitted());
-  const base::TimePoint AskedAt = now();
+asio::awaitable<void> FleetNode::requestPledge(Member Peer) {
+  Json::Value Request(Json::objectValue);
+  Request["admitted"] = Json::UInt64(State_.admissionGeneration());
+  const base::TimePoint SentAt = now();
   base::Error Last;
   const std::optional<std::string> Answer =
       co_await Peers_.call(Peer.PeerAddress_, "fleet.pledge",
-                           Codec::write(Asked), CallTimeout, Last);
+                           Codec::write(Request), CallTimeout, Last);
   const auto Parsed = Answer ? Codec::parse(*Answer) : std::nullopt;
   if (Parsed && (*Parsed)["pledged"].isBool() && (*Parsed)["pledged"].asBool())
-    State_.pledged(Peer.Host_, AskedAt, now());
+    State_.handlePledge(Peer.Host_, SentAt, now());
 }
 
-asio::awaitable<void> FleetNode::askViews(std::string Peer) {
-  const base::TimePoint AskedAt = now();
+asio::awaitable<void> FleetNode::requestFreshnessViews(std::string Peer) {
+  const base::TimePoint SentAt = now();
   base::Error Last;
   const std::optional<std::string> Answer = co_await Peers_.call(
       std::move(Peer), "fleet.views", "{}", CallTimeout, Last);
   const auto Parsed = Answer ? Codec::parse(*Answer) : std::nullopt;
   if (Parsed)
-    State_.viewsAnswered(*Parsed, AskedAt);
+    State_.handleFreshnessViews(*Parsed, SentAt);
 }
 
 bool FleetNode::mustReadRecord() const {
-  if (ReadBack_ || BeatsFailed_ > BeatsBeforeStore)
+  if (ReadBackPending_ || FailedHeartbeats_ > MaxFailedHeartbeats)
     return true;
   return State_.talksToStore() && !State_.isRelay();
 }
@@ -204,10 +214,10 @@
   while (!Stopped_) {
     if (mustReadRecord())
       co_await readRecord();
-    if (!ReadBack_)
+    if (!ReadBackPending_)
       if (std::optional<RecordPlan> Plan = State_.beginWrite(now()))
         co_await writeRecord(std::move(*Plan));
-    co_await waitFor(Options_.LeaseTiming_.RenewalInterval_ / 4);
+    co_await sleepFor(Options_.LeaseTiming_.RenewalInterval_ / 4);
   }
 }
 
@@ -217,13 +227,13 @@
   const auto Read = co_await Store_.get(Path, Last);
   if (!Read)
     co_return;
-  ReadBack_ = false;
+  ReadBackPending_ = false;
   if (Read->Version_ == 0)
     co_return;
   const auto Parsed = Codec::parse(Read->Value_);
   const auto Record = Parsed ? Codec::toZoneRecord(*Parsed) : std::nullopt;
   if (Record)
-    State_.sawRecord(*Record, Read->Version_, now());
+    State_.handleRecord(*Record, Read->Version_, now());
   else
     log(base::KeyValueLine()
             .add("event", "zone_record_malformed")
@@ -237,15 +247,17 @@
   const std::string Path = zonePath(Options_.Zone_);
   const std::string Value = Codec::write(Codec::toJson(Plan.Next_));
   const store::PutResult Result =
-      co_await Store_.put(Path, Value, Plan.Expected_, Last);
+      co_await Store_.put(Path, Value, Plan.ExpectedVersion_, Last);
   if (Result.Status_ == store::PutStatus::Written)
-    State_.sawRecord(Plan.Next_, Result.Version_, now());
+    State_.handleRecord(Plan.Next_, Result.Version_, now());
   if (Result.Status_ == store::PutStatus::Written && Plan.Reason_ != "renew")
-    for (const Member &Each : State_.zonePeers())
-      asio::co_spawn(Strand_, hintRecord(Each.PeerAddress_), asio::detached);
-  // What stands there now tells what became of a lost answer.
-  ReadBack_ = Result.Status_ == store::PutStatus::Unknown ||
-              Result.Status_ == store::PutStatus::Conflict;
+    for (const Member &Peer : State_.zonePeers())
+      asio::co_spawn(Strand_, sendRecordHint(Peer.PeerAddress_),
+                     asio::detached);
+  // The object now in the store shows whether a write without an answer took
+  // effect.
+  ReadBackPending_ = Result.Status_ == store::PutStatus::Unknown ||
+                     Result.Status_ == store::PutStatus::Conflict;
   if (Plan.Reason_ != "renew" || Result.Status_ != store::PutStatus::Written)
     log(base::KeyValueLine()
             .add("event", "zone_record")
@@ -261,10 +273,10 @@
     if (State_.talksToStore())
       co_await checkDirectory();
     std::uint64_t Version = 0;
-    if (std::optional<Directory> Next = State_.directoryPlan(Version))
+    if (std::optional<Directory> Next = State_.planDirectory(Version))
       co_await writeDirectory(std::move(*Next), Version);
-    tellDirectory();
-    co_await waitFor(DirectoryEvery);
+    announceDirectory();
+    co_await sleepFor(DirectoryCheckInterval);
   }
 }
 
@@ -279,7 +291,7 @@
   const auto Parsed = Read ? Codec::parse(Read->Value_) : std::nullopt;
   const auto Seen = Parsed ? Codec::toDirectory(*Parsed) : std::nullopt;
   if (Seen)
-    State_.sawDirectory(*Seen, Read->Version_);
+    State_.handleDirectory(*Seen, Read->Version_);
 }
 
 asio::awaitable<void> FleetNode::writeDirectory(Directory Next,
@@ -289,73 +301,75 @@
   const std::string Value = Codec::write(Codec::toJson(Next));
   const store::PutResult Result =
       co_await Store_.put(Path, Value, Version, Last);
-  // A conflict or a lost answer is read back by the next round's check.
+  // After a conflict or a lost answer, the next round's check reads the
+  // directory back.
   if (Result.Status_ == store::PutStatus::Written)
-    State_.sawDirectory(Next, Result.Version_);
+    State_.handleDirectory(Next, Result.Version_);
 }
 
 asio::awaitable<void> FleetNode::settingsLoop() {
-  store::Backoff Wait;
+  store::Backoff Retry;
   while (!Stopped_) {
     const bool Answered =
-        !State_.talksToStore() || co_await Spread_.checkStore();
+        !State_.talksToStore() || co_await Propagator_.checkStore();
     if (Answered)
-      Wait.reset();
-    co_await waitFor(Answered ? CheckEvery : Wait.next(Random_));
+      Retry.reset();
+    co_await sleepFor(Answered ? SettingsCheckInterval : Retry.next(Random_));
   }
 }
 
 asio::awaitable<void> FleetNode::watchLoop() {
-  store::Backoff Wait;
+  store::Backoff Retry;
   while (!Stopped_) {
     if (!State_.talksToStore()) {
-      co_await waitFor(CheckEvery);
+      co_await sleepFor(SettingsCheckInterval);
       continue;
     }
-    if (co_await Spread_.watchStore(WatchWait))
-      Wait.reset();
-    // Also after an answer: a watch that is stale answers at once each time.
-    co_await waitFor(Wait.next(Random_));
+    if (co_await Propagator_.watchStore(WatchTimeout))
+      Retry.reset();
+    // Waits after an answer as well: a stale watch answers at once each time.
+    co_await sleepFor(Retry.next(Random_));
   }
 }
 
 asio::awaitable<void> FleetNode::leave() {
   Stopped_ = true;
-  std::vector<Member> Told = State_.superiors();
-  if (Told.empty())
-    Told = State_.zonePeers();
-  if (Told.empty())
-    co_await leaveAlone();
-  if (Told.size() > TriesPerBeat)
-    Told.resize(TriesPerBeat);
-  for (const Member &Each : Told) {
+  std::vector<Member> Recipients = State_.heartbeatRecipients();
+  if (Recipients.empty())
+    Recipients = State_.zonePeers();
+  if (Recipients.empty())
+    co_await writeEmptyZone();
+  if (Recipients.size() > MaxRecipients)
+    Recipients.resize(MaxRecipients);
+  for (const Member &Peer : Recipients) {
     base::Error Last;
-    co_await Peers_.call(Each.PeerAddress_, "fleet.leave", "{}", CallTimeout,
+    co_await Peers_.call(Peer.PeerAddress_, "fleet.leave", "{}", CallTimeout,
                          Last);
   }
-  State_.guard().drop();
+  State_.leaseGuard().revoke();
 }
 
-/// The last host of a zone has nobody to tell: it writes the empty zone itself.
-asio::awaitable<void> FleetNode::leaveAlone() {
+/// The last host of a zone has no peer to notify, so it writes the empty zone
+/// itself.
+asio::awaitable<void> FleetNode::writeEmptyZone() {
   ZoneRecord Empty;
   Empty.Zone_ = Options_.Zone_;
-  Empty.Generation_ = State_.record().Generation_ + 1;
+  Empty.Generation_ = State_.zoneRecord().Generation_ + 1;
   RecordPlan Plan{Empty, State_.versions().Record_, "leave"};
-  if (Plan.Expected_ == 0)
+  if (Plan.ExpectedVersion_ == 0)
     co_return;
-  State_.guard().drop();
+  State_.leaseGuard().revoke();
   co_await writeRecord(Plan);
   co_await checkDirectory();
-  if (const auto Next = State_.directory().with(Empty))
+  if (const auto Next = State_.directory().withZone(Empty))
     co_await writeDirectory(*Next, State_.versions().Directory_);
 }
 
-void FleetNode::tellDirectory() {
+void FleetNode::announceDirectory() {
   const Directory Known = State_.directory();
-  if (Known.Epoch_ <= EpochTold_)
+  if (Known.Epoch_ <= AnnouncedEpoch_)
     return;
-  EpochTold_ = Known.Epoch_;
+  AnnouncedEpoch_ = Known.Epoch_;
   log(base::KeyValueLine()
           .add("event", "epoch")
           .add("epoch", Known.Epoch_)
--- a/libs/fleet/FleetState.cpp
+++ b/libs/fleet/FleetState.cpp
@@ -8,15 +8,16 @@
 
 namespace {
 
-/// A zone of this many hosts beats to its relay alone; larger ones form a tree
-/// of this width, so that no host hears more than this many.
-constexpr std::size_t TreeWidth = 8;
+/// Hosts of a zone form a tree of this fan-out with the relay as its root, so
+/// that no host receives heartbeats from more than this many. In small zones
+/// all hosts send theirs to the relay.
+constexpr std::size_t TreeFanOut = 8;
 
 std::int64_t millisecondsOf(base::TimePoint Point) {
   return base::toMilliseconds(Point.time_since_epoch());
 }
 
-base::TimePoint pointOf(std::int64_t Milliseconds) {
+base::TimePoint timePointOf(std::int64_t Milliseconds) {
   return base::TimePoint(std::chrono::milliseconds(Milliseconds));
 }
 
@@ -33,170 +34,176 @@
   return Found.asInt64();
 }
 
-/// Rounds an age up: a millisecond too fresh would be wrong.
-std::int64_t ageIn(base::Duration Age) { return base::toMilliseconds(Age) + 1; }
+/// Rounds the age up, in milliseconds: a value that is too small would
+/// overstate freshness.
+std::int64_t ageMilliseconds(base::Duration Age) {
+  return base::toMilliseconds(Age) + 1;
+}
 
-/// \returns the members with the relay first, the others in order of names.
-std::vector<const Member *> inOrder(const ZoneRecord &Record) {
+/// \returns the members with the relay first, the others ordered by name.
+std::vector<const Member *> heartbeatOrder(const ZoneRecord &Record) {
   std::vector<const Member *> Order;
-  for (const Member &Each : Record.Members_)
-    if (Each.Host_ == Record.Relay_)
-      Order.push_back(&Each);
-  for (const Member &Each : Record.Members_)
-    if (Each.Host_ != Record.Relay_)
-      Order.push_back(&Each);
+  for (const Member &Entry : Record.Members_)
+    if (Entry.Host_ == Record.Relay_)
+      Order.push_back(&Entry);
+  for (const Member &Entry : Record.Members_)
+    if (Entry.Host_ != Record.Relay_)
+      Order.push_back(&Entry);
   return Order;
 }
 
 } // namespace
 
-FleetState::FleetState(const LeaseTiming &Terms, const base::ZoneId &Zone,
+FleetState::FleetState(const LeaseTiming &Timing, const base::ZoneId &Zone,
                        const Member &Self, base::TimePoint Now)
-    : Terms_(Terms), Zone_(Zone), Address_(Self.PeerAddress_), Self_(Self),
-      Holder_(Terms), Keeper_(Terms, Zone, Self, Now) {}
+    : Timing_(Timing), Zone_(Zone), Address_(Self.PeerAddress_), Self_(Self),
+      Holder_(Timing), Planner_(Timing, Zone, Self, Now) {}
 
-Json::Value FleetState::beat(base::TimePoint Now) {
+Json::Value FleetState::makeHeartbeat(base::TimePoint Now) {
   const std::lock_guard Guard(Lock_);
-  Self_.Sequence_ = Holder_.beat(Now);
-  Self_.KnownGeneration_ = Keeper_.record().Generation_;
-  Keeper_.hear(Self_, Now);
-  Vote_.stated(Self_.Host_, {Replica_.newest(), Now});
-  Json::Value Made(Json::objectValue);
-  Made["zone"] = Zone_.name();
-  Made["from"] = Self_.PeerAddress_;
-  Made["record"] = Json::UInt64(Keeper_.version());
-  Made["directory"] = Json::UInt64(DirectoryVersion_);
-  Made["settings"] = Json::UInt64(Replica_.newest());
+  Self_.Sequence_ = Holder_.nextHeartbeat(Now);
+  Self_.KnownGeneration_ = Planner_.record().Generation_;
+  Planner_.receiveHeartbeat(Self_, Now);
+  Vote_.recordHost(Self_.Host_, {Replica_.newestVersion(), Now});
+  Json::Value Result(Json::objectValue);
+  Result["zone"] = Zone_.name();
+  Result["from"] = Self_.PeerAddress_;
+  Result["record"] = Json::UInt64(Planner_.version());
+  Result["directory"] = Json::UInt64(DirectoryVersion_);
+  Result["settings"] = Json::UInt64(Replica_.newestVersion());
   Json::Value Members(Json::arrayValue);
   Members.append(Codec::toJson(Self_));
-  for (const auto &[Host, Each] : PassOn_)
-    Members.append(Codec::toJson(Each));
-  PassOn_.clear();
-  Made["members"] = std::move(Members);
+  for (const auto &[Host, Entry] : PendingForward_)
+    Members.append(Codec::toJson(Entry));
+  PendingForward_.clear();
+  Result["members"] = std::move(Members);
   Json::Value Echoes(Json::objectValue);
-  for (const auto &[Peer, Reading] : Echoes_)
+  for (const auto &[Peer, Reading] : ClockEchoes_)
     Echoes[Peer] = Json::Int64(Reading);
-  Made["echoes"] = std::move(Echoes);
-  return Made;
+  Result["echoes"] = std::move(Echoes);
+  return Result;
 }
 
-void FleetState::hearAll(const Json::Value &Request, base::TimePoint Now) {
+void FleetState::receiveHeartbeats(const Json::Value &Request,
+                                   base::TimePoint Now) {
   if (!Request["members"].isArray())
     return;
   bool First = true;
-  for (const Json::Value &Each : Request["members"]) {
-    const std::optional<Member> Heard = Codec::toMember(Each);
-    if (!Heard || Heard->Host_ == Self_.Host_)
+  for (const Json::Value &Entry : Request["members"]) {
+    const std::optional<Member> Received = Codec::toMember(Entry);
+    if (!Received || Received->Host_ == Self_.Host_)
       continue;
-    Keeper_.hear(*Heard, Now);
-    PassOn_[Heard->Host_] = *Heard;
+    Planner_.receiveHeartbeat(*Received, Now);
+    PendingForward_[Received->Host_] = *Received;
     const auto Echo = signedIn(Request["echoes"], Self_.Host_.name().c_str());
-    // The sender knew what it says after it had read this host's clock.
-    if (First && Echo && pointOf(*Echo) <= Now)
-      Vote_.stated(Heard->Host_,
-                   {numberIn(Request, "settings"), pointOf(*Echo)});
+    // The sender made its statement after it had received this clock reading.
+    if (First && Echo && timePointOf(*Echo) <= Now)
+      Vote_.recordHost(Received->Host_,
+                       {numberIn(Request, "settings"), timePointOf(*Echo)});
     First = false;
   }
 }
 
-Json::Value FleetState::answerBeat(const Json::Value &Request,
-                                   base::TimePoint Now) {
+Json::Value FleetState::answerHeartbeat(const Json::Value &Request,
+                                        base::TimePoint Now) {
   const std::lock_guard Guard(Lock_);
   const bool SameZone =
       Request["zone"].isString() && Request["zone"].asString() == Zone_.name();
   if (SameZone && Request["echoes"].isObject())
-    hearAll(Request, Now);
-  Json::Value Made(Json::objectValue);
-  Made["host"] = Self_.Host_.name();
-  Made["clock"] = Json::Int64(millisecondsOf(Now));
-  Made["record"] = Json::UInt64(Keeper_.version());
-  if (SameZone && Keeper_.version() > numberIn(Request, "record"))
-    Made["record_body"] = Codec::toJson(Keeper_.record());
-  Made["directory"] = Json::UInt64(DirectoryVersion_);
+    receiveHeartbeats(Request, Now);
+  Json::Value Result(Json::objectValue);
+  Result["host"] = Self_.Host_.name();
+  Result["clock"] = Json::Int64(millisecondsOf(Now));
+  Result["record"] = Json::UInt64(Planner_.version());
+  if (SameZone && Planner_.version() > numberIn(Request, "record"))
+    Result["record_body"] = Codec::toJson(Planner_.record());
+  Result["directory"] = Json::UInt64(DirectoryVersion_);
   if (DirectoryVersion_ > numberIn(Request, "directory"))
-    Made["directory_body"] = Codec::toJson(Directory_);
-  Made["settings"] = Json::UInt64(Replica_.newest());
-  Made["in_force"] = Json::UInt64(Replica_.inForce());
+    Result["directory_body"] = Codec::toJson(Directory_);
+  Result["settings"] = Json::UInt64(Replica_.newestVersion());
+  Result["in_force"] = Json::UInt64(Replica_.appliedVersion());
   if (const auto Age = Replica_.age(Now))
-    Made["fresh_ms"] = Json::Int64(ageIn(*Age));
-  return Made;
+    Result["fresh_ms"] = Json::Int64(ageMilliseconds(*Age));
+  return Result;
 }
 
-bool FleetState::beatAnswered(const Json::Value &Answer,
-                              base::TimePoint AskedAt, base::TimePoint Now) {
+bool FleetState::handleHeartbeatAnswer(const Json::Value &Answer,
+                                       base::TimePoint SentAt,
+                                       base::TimePoint Now) {
   const std::lock_guard Guard(Lock_);
   const auto Clock = signedIn(Answer, "clock");
   if (Clock && Answer["host"].isString())
-    Echoes_[Answer["host"].asString()] = *Clock;
-  takeRecord(Answer, Now);
+    ClockEchoes_[Answer["host"].asString()] = *Clock;
+  receiveRecord(Answer, Now);
   if (const auto Seen = Codec::toDirectory(Answer["directory_body"]))
-    enterDirectory(*Seen, numberIn(Answer, "directory"));
+    observeDirectory(*Seen, numberIn(Answer, "directory"));
   if (const auto Age = signedIn(Answer, "fresh_ms"); Age && *Age >= 0)
     Replica_.confirmNewest(numberIn(Answer, "in_force"),
-                           AskedAt - std::chrono::milliseconds(*Age));
-  extend(Now);
-  return numberIn(Answer, "settings") > Replica_.inForce();
+                           SentAt - std::chrono::milliseconds(*Age));
+  extendLease(Now);
+  return numberIn(Answer, "settings") > Replica_.appliedVersion();
 }
 
-void FleetState::takeRecord(const Json::Value &Answer, base::TimePoint Now) {
+void FleetState::receiveRecord(const Json::Value &Answer, base::TimePoint Now) {
   const auto Record = Codec::toZoneRecord(Answer["record_body"]);
   if (Record && Record->Zone_ == Zone_)
-    observe(*Record, numberIn(Answer, "record"), Now);
+    observeRecord(*Record, numberIn(Answer, "record"), Now);
 }
 
-void FleetState::observe(const ZoneRecord &Record, std::uint64_t Version,
-                         base::TimePoint Now) {
-  const bool WasMember = Keeper_.isMember();
-  Keeper_.observe(Record, Version, Now);
-  if (WasMember && !Keeper_.isMember()) {
-    // Removed: what this host held may belong to others from here on.
-    Guard_.drop();
-    Holder_.forget();
+void FleetState::observeRecord(const ZoneRecord &Record, std::uint64_t Version,
+                               base::TimePoint Now) {
+  const bool WasMember = Planner_.isMember();
+  Planner_.observe(Record, Version, Now);
+  if (WasMember && !Planner_.isMember()) {
+    // Removed: the shares of this host may belong to others from now on.
+    LeaseGuard_.revoke();
+    Holder_.reset();
   }
-  extend(Now);
+  extendLease(Now);
 }
 
-void FleetState::extend(base::TimePoint Now) {
-  const Member *Own = Keeper_.record().find(Self_.Host_);
+void FleetState::extendLease(base::TimePoint Now) {
+  const Member *Own = Planner_.record().find(Self_.Host_);
   if (!Own || Own->Incarnation_ != Self_.Incarnation_)
     return;
-  Holder_.confirm(Own->Sequence_);
-  Guard_.extend(Holder_.until(Keeper_.record(), Self_.Host_, Now), Now);
+  Holder_.confirmHeartbeat(Own->Sequence_);
+  LeaseGuard_.extend(Holder_.expiry(Planner_.record(), Self_.Host_, Now), Now);
 }
 
-bool FleetState::pledge(const base::HostId &Host, std::uint64_t Admitted,
-                        base::TimePoint Now) {
+bool FleetState::grantPledge(const base::HostId &Host,
+                             std::uint64_t AdmissionGeneration,
+                             base::TimePoint Now) {
   const std::lock_guard Guard(Lock_);
-  const Member *Listed = Keeper_.record().find(Host);
-  if (!Listed || Listed->AdmissionGeneration_ != Admitted)
+  const Member *Listed = Planner_.record().find(Host);
+  if (!Listed || Listed->AdmissionGeneration_ != AdmissionGeneration)
     return false;
-  return Keeper_.pledge(Host, Now);
+  return Planner_.grantPledge(Host, Now);
 }
 
-std::uint64_t FleetState::admitted() const {
+std::uint64_t FleetState::admissionGeneration() const {
   const std::lock_guard Guard(Lock_);
-  const Member *Own = Keeper_.record().find(Self_.Host_);
+  const Member *Own = Planner_.record().find(Self_.Host_);
   return Own && Own->Incarnation_ == Self_.Incarnation_
              ? Own->AdmissionGeneration_
              : 0;
 }
 
-void FleetState::pledged(const base::HostId &Host, base::TimePoint AskedAt,
-                         base::TimePoint Now) {
+void FleetState::handlePledge(const base::HostId &Host, base::TimePoint SentAt,
+                              base::TimePoint Now) {
   const std::lock_guard Guard(Lock_);
-  Holder_.pledge(Host, AskedAt);
-  extend(Now);
+  Holder_.recordPledge(Host, SentAt);
+  extendLease(Now);
 }
 
-void FleetState::goodbye(const base::HostId &Host) {
+void FleetState::handleLeave(const base::HostId &Host) {
   const std::lock_guard Guard(Lock_);
-  Keeper_.leave(Host);
-  PassOn_.erase(Host);
+  Planner_.handleLeave(Host);
+  PendingForward_.erase(Host);
 }
 
-void FleetState::platformGone(const base::HostId &Host) {
+void FleetState::handlePlatformRemoval(const base::HostId &Host) {
   const std::lock_guard Guard(Lock_);
-  Keeper_.platformGone(Host);
+  Planner_.handlePlatformRemoval(Host);
 }
 
 void FleetState::setLeaving() {
@@ -205,39 +212,39 @@
 }
 
 std::vector<base::HostId> FleetState::voters(base::TimePoint Now) const {
-  std::vector<base::HostId> Found;
-  for (const Member &Each : Keeper_.record().Members_)
-    if (!Keeper_.leaseIsOver(Each.Host_, Now))
-      Found.push_back(Each.Host_);
-  return Found;
+  std::vector<base::HostId> Voters;
+  for (const Member &Entry : Planner_.record().Members_)
+    if (!Planner_.isLeaseExpired(Entry.Host_, Now))
+      Voters.push_back(Entry.Host_);
+  return Voters;
 }
 
 std::optional<Freshness> FleetState::zoneFreshness(base::TimePoint Now) const {
-  if (!Keeper_.isMember())
+  if (!Planner_.isMember())
     return std::nullopt;
-  return Vote_.ofZone(voters(Now));
+  return Vote_.zoneFreshness(voters(Now));
 }
 
-Json::Value FleetState::views(base::TimePoint Now) const {
+Json::Value FleetState::freshnessViews(base::TimePoint Now) const {
   const std::lock_guard Guard(Lock_);
   Json::Value Zones(Json::objectValue);
   const auto Add = [&Zones, Now](const base::ZoneId &Zone,
                                  const Freshness &Known) {
-    Json::Value &Made = Zones[Zone.name()];
-    Made["version"] = Json::UInt64(Known.Version_);
-    Made["age_ms"] = Json::Int64(ageIn(Now - Known.At_));
+    Json::Value &Result = Zones[Zone.name()];
+    Result["version"] = Json::UInt64(Known.Version_);
+    Result["age_ms"] = Json::Int64(ageMilliseconds(Now - Known.At_));
   };
   for (const auto &[Zone, Known] : Vote_.zones())
     Add(Zone, Known);
   if (const auto Own = zoneFreshness(Now))
     Add(Zone_, *Own);
-  Json::Value Made(Json::objectValue);
-  Made["zones"] = std::move(Zones);
-  return Made;
+  Json::Value Result(Json::objectValue);
+  Result["zones"] = std::move(Zones);
+  return Result;
 }
 
-void FleetState::viewsAnswered(const Json::Value &Answer,
-                               base::TimePoint AskedAt) {
+void FleetState::handleFreshnessViews(const Json::Value &Answer,
+                                      base::TimePoint SentAt) {
   const std::lock_guard Guard(Lock_);
   const Json::Value &Zones = Answer["zones"];
   if (!Zones.isObject())
@@ -247,68 +254,69 @@
       continue;
     const auto Age = signedIn(Zones[Name], "age_ms");
     if (Age && *Age >= 0)
-      Vote_.learned(base::ZoneId(Name),
-                    {numberIn(Zones[Name], "version"),
-                     AskedAt - std::chrono::milliseconds(*Age)});
+      Vote_.recordZone(base::ZoneId(Name),
+                       {numberIn(Zones[Name], "version"),
+                        SentAt - std::chrono::milliseconds(*Age)});
   }
 }
 
-void FleetState::vote(base::TimePoint Now) {
+void FleetState::applyFreshnessVote(base::TimePoint Now) {
   const std::lock_guard Guard(Lock_);
   std::vector<base::ZoneId> Others;
-  for (const auto &[Zone, Each] : Directory_.Zones_)
-    if (Zone != Zone_ && !Each.Members_.empty())
+  for (const auto &[Zone, Entry] : Directory_.Zones_)
+    if (Zone != Zone_ && !Entry.Members_.empty())
       Others.push_back(Zone);
-  if (const auto All = Vote_.ofFleet(zoneFreshness(Now), Others))
+  if (const auto All = Vote_.fleetFreshness(zoneFreshness(Now), Others))
     Replica_.confirmNewest(All->Version_, All->At_);
 }
 
-void FleetState::sawRecord(const ZoneRecord &Record, std::uint64_t Version,
-                           base::TimePoint Now) {
+void FleetState::handleRecord(const ZoneRecord &Record, std::uint64_t Version,
+                              base::TimePoint Now) {
   const std::lock_guard Guard(Lock_);
-  observe(Record, Version, Now);
+  observeRecord(Record, Version, Now);
 }
 
 std::optional<RecordPlan> FleetState::beginWrite(base::TimePoint Now) {
   const std::lock_guard Guard(Lock_);
-  std::optional<RecordPlan> Plan = Keeper_.plan(Now);
+  std::optional<RecordPlan> Plan = Planner_.plan(Now);
   if (Plan)
-    Keeper_.begin(*Plan);
+    Planner_.beginWrite(*Plan);
   return Plan;
 }
 
-void FleetState::abandonWrite() {
+void FleetState::abandonWrites() {
   const std::lock_guard Guard(Lock_);
-  Keeper_.abandon();
+  Planner_.abandonWrites();
 }
 
-void FleetState::sawDirectory(const Directory &Seen, std::uint64_t Version) {
+void FleetState::handleDirectory(const Directory &Seen, std::uint64_t Version) {
   const std::lock_guard Guard(Lock_);
-  enterDirectory(Seen, Version);
+  observeDirectory(Seen, Version);
 }
 
-void FleetState::enterDirectory(const Directory &Seen, std::uint64_t Version) {
+void FleetState::observeDirectory(const Directory &Seen,
+                                  std::uint64_t Version) {
   if (Version <= DirectoryVersion_)
     return;
   Directory_ = Seen;
   DirectoryVersion_ = Version;
-  // A host that the directory is without has no part in its epoch.
+  // A host that the directory does not list takes no part in its epoch.
   if (Directory_.find(Self_.Host_))
-    Guard_.enter(Directory_.Epoch_);
+    LeaseGuard_.enterEpoch(Directory_.Epoch_);
 }
 
 std::optional<Directory>
-FleetState::directoryPlan(std::uint64_t &Version) const {
+FleetState::planDirectory(std::uint64_t &Version) const {
   const std::lock_guard Guard(Lock_);
   Version = DirectoryVersion_;
-  if (!Keeper_.isRelay())
+  if (!Planner_.isRelay())
     return std::nullopt;
-  return Directory_.with(Keeper_.record());
+  return Directory_.withZone(Planner_.record());
 }
 
 Versions FleetState::versions() const {
   const std::lock_guard Guard(Lock_);
-  return {Keeper_.version(), DirectoryVersion_, Replica_.newest()};
+  return {Planner_.version(), DirectoryVersion_, Replica_.newestVersion()};
 }
 
 Directory FleetState::directory() const {
@@ -316,57 +324,59 @@
   return Directory_;
 }
 
-ZoneRecord FleetState::record() const {
+ZoneRecord FleetState::zoneRecord() const {
   const std::lock_guard Guard(Lock_);
-  return Keeper_.record();
+  return Planner_.record();
 }
 
-std::uint64_t FleetState::inForce() const {
+std::uint64_t FleetState::appliedSettingsVersion() const {
   const std::lock_guard Guard(Lock_);
-  return Replica_.inForce();
+  return Replica_.appliedVersion();
 }
 
 bool FleetState::isRelay() const {
   const std::lock_guard Guard(Lock_);
-  return Keeper_.isRelay();
+  return Planner_.isRelay();
 }
 
 bool FleetState::talksToStore() const {
   const std::lock_guard Guard(Lock_);
-  return !Keeper_.isMember() || Keeper_.isRelay() || Keeper_.isStandby();
+  return !Planner_.isMember() || Planner_.isRelay() || Planner_.isStandby();
 }
 
-std::vector<Member> FleetState::superiors() const {
+std::vector<Member> FleetState::heartbeatRecipients() const {
   const std::lock_guard Guard(Lock_);
-  const std::vector<const Member *> Order = inOrder(Keeper_.record());
-  std::size_t Own = Order.size();
+  const std::vector<const Member *> Order = heartbeatOrder(Planner_.record());
+  std::size_t OwnIndex = Order.size();
   for (std::size_t Index = 0; Index < Order.size(); ++Index)
     if (Order[Index]->Host_ == Self_.Host_)
-      Own = Index;
-  std::vector<Member> Found;
-  if (Own == 0)
-    return Found;
-  const std::size_t Parent = Own == Order.size() ? 0 : (Own - 1) / TreeWidth;
+      OwnIndex = Index;
+  std::vector<Member> Recipients;
+  if (OwnIndex == 0)
+    return Recipients;
+  const std::size_t Parent =
+      OwnIndex == Order.size() ? 0 : (OwnIndex - 1) / TreeFanOut;
   if (Parent < Order.size())
-    Found.push_back(*Order[Parent]);
-  for (std::size_t Index = 0; Index < std::min(Own, Order.size()); ++Index)
+    Recipients.push_back(*Order[Parent]);
+  for (std::size_t Index = 0; Index < std::min(OwnIndex, Order.size()); ++Index)
     if (Index != Parent)
-      Found.push_back(*Order[Index]);
-  return Found;
+      Recipients.push_back(*Order[Index]);
+  return Recipients;
 }
 
 std::vector<Member> FleetState::zonePeers() const {
   const std::lock_guard Guard(Lock_);
-  std::vector<Member> Found;
-  for (const Member &Each : Keeper_.record().Members_)
-    if (Each.Host_ != Self_.Host_)
-      Found.push_back(Each);
-  return Found;
+  std::vector<Member> Peers;
+  for (const Member &Entry : Planner_.record().Members_)
+    if (Entry.Host_ != Self_.Host_)
+      Peers.push_back(Entry);
+  return Peers;
 }
 
 bool FleetState::needsPledges(base::TimePoint Now) const {
   const std::lock_guard Guard(Lock_);
-  return Keeper_.isMember() && Holder_.confirmedUntil() - Now < Terms_.Ttl_ / 2;
+  return Planner_.isMember() &&
+         Holder_.confirmedExpiry() - Now < Timing_.Ttl_ / 2;
 }
 
 } // namespace lychee::fleet
--- a/libs/fleet/FleetState.h
+++ b/libs/fleet/FleetState.h
@@ -18,93 +18,101 @@
 
 namespace lychee::fleet {
 
-/// What hosts compare first: newer versions are fetched from who has them.
+/// Store versions of the shared objects. Hosts compare these first and fetch
+/// newer objects from a peer that has them.
 struct Versions {
   std::uint64_t Record_ = 0;
   std::uint64_t Directory_ = 0;
   std::uint64_t Settings_ = 0;
 };
 
-/// All that a host knows of the fleet, and the messages in which hosts tell it
-/// each other: heartbeats up to the zone's relay, and down with the answers the
-/// zone's record, the directory and how fresh the settings are. A record comes
-/// from the store or from a peer alike, as its store version orders it.
+/// A host's knowledge of the fleet, and the messages by which hosts exchange
+/// it: heartbeats travel up to the zone's relay, and the answers carry the
+/// zone's record, the directory and the freshness of the settings down. Records
+/// are ordered by their store version, whether they come from the store or from
+/// a peer.
 ///
-/// No I/O, no clock; safe to use from several threads, under one lock that is
-/// held for microseconds. \see FleetNode, which makes the calls
+/// Does no I/O and reads no clock. Safe to use from several threads; its one
+/// lock is held for microseconds. \see FleetNode, which makes the calls
 class FleetState {
 public:
-  FleetState(const LeaseTiming &Terms, const base::ZoneId &Zone,
+  FleetState(const LeaseTiming &Timing, const base::ZoneId &Zone,
              const Member &Self, base::TimePoint Now);
   FleetState(const FleetState &) = delete;
   FleetState &operator=(const FleetState &) = delete;
 
   // Heartbeats.
 
-  /// \returns the next heartbeat as JSON: this host's and those it passes on.
-  Json::Value beat(base::TimePoint Now);
+  /// \returns the next heartbeat as JSON: this host's own and those it
+  /// forwards.
+  Json::Value makeHeartbeat(base::TimePoint Now);
   /// \returns the answer to a peer's heartbeat.
-  Json::Value answerBeat(const Json::Value &Request, base::TimePoint Now);
-  /// \param AskedAt  when the heartbeat went out.
-  /// \returns true where the peer has a newer settings root than this host.
-  bool beatAnswered(const Json::Value &Answer, base::TimePoint AskedAt,
+  Json::Value answerHeartbeat(const Json::Value &Request, base::TimePoint Now);
+  /// \param SentAt  when the heartbeat was sent.
+  /// \returns true if the peer knows a newer settings root than the one applied
+  /// on this host.
+  bool handleHeartbeatAnswer(const Json::Value &Answer, base::TimePoint SentAt,
+                             base::TimePoint Now);
+
+  /// \param AdmissionGeneration  the admission generation that the requester
+  /// knows of itself. A requester that was removed and admitted again without
+  /// learning of it is refused: its lease would become valid again together
+  /// with shares that others have received since.
+  bool grantPledge(const base::HostId &Host, std::uint64_t AdmissionGeneration,
+                   base::TimePoint Now);
+  void handlePledge(const base::HostId &Host, base::TimePoint SentAt,
                     base::TimePoint Now);
-
-  /// \param Admitted  the asker's admission as it knows it. One that was
-  /// removed and admitted anew without hearing of it gets no pledge: its lease
-  /// would come back with shares that others have had since.
-  bool pledge(const base::HostId &Host, std::uint64_t Admitted,
-              base::TimePoint Now);
-  void pledged(const base::HostId &Host, base::TimePoint AskedAt,
-               base::TimePoint Now);
-  void goodbye(const base::HostId &Host);
-  void platformGone(const base::HostId &Host);
+  void handleLeave(const base::HostId &Host);
+  void handlePlatformRemoval(const base::HostId &Host);
   void setLeaving();
 
-  // Freshness by all hosts' word.
+  // Freshness vote of all hosts.
 
-  Json::Value views(base::TimePoint Now) const;
-  void viewsAnswered(const Json::Value &Answer, base::TimePoint AskedAt);
-  /// Takes what all hosts say together, if they do.
-  void vote(base::TimePoint Now);
+  Json::Value freshnessViews(base::TimePoint Now) const;
+  void handleFreshnessViews(const Json::Value &Answer, base::TimePoint SentAt);
+  /// Confirms the settings by the statements of all hosts, if these are
+  /// complete.
+  void applyFreshnessVote(base::TimePoint Now);
 
   // The store.
 
-  void sawRecord(const ZoneRecord &Record, std::uint64_t Version,
-                 base::TimePoint Now);
-  /// \returns a record to be written now; it counts as on its way from here.
+  void handleRecord(const ZoneRecord &Record, std::uint64_t Version,
+                    base::TimePoint Now);
+  /// \returns a record to be written now, if any. The write counts as in
+  /// progress from this call on.
   std::optional<RecordPlan> beginWrite(base::TimePoint Now);
-  /// Each write begun so far certainly failed.
-  void abandonWrite();
-  void sawDirectory(const Directory &Seen, std::uint64_t Version);
+  /// Every write begun so far is known to have failed.
+  void abandonWrites();
+  void handleDirectory(const Directory &Seen, std::uint64_t Version);
   /// \returns the directory to be written over \p Version, if it must change.
-  std::optional<Directory> directoryPlan(std::uint64_t &Version) const;
+  std::optional<Directory> planDirectory(std::uint64_t &Version) const;
 
-  // What is known.
+  // Accessors.
 
-  LeaseGuard &guard() noexcept { return Guard_; }
-  const LeaseGuard &guard() const noexcept { return Guard_; }
+  LeaseGuard &leaseGuard() noexcept { return LeaseGuard_; }
+  const LeaseGuard &leaseGuard() const noexcept { return LeaseGuard_; }
   Versions versions() const;
   Directory directory() const;
-  ZoneRecord record() const;
-  /// The store's version of the settings in force.
-  std::uint64_t inForce() const;
+  ZoneRecord zoneRecord() const;
+  /// The store version of the applied settings.
+  std::uint64_t appliedSettingsVersion() const;
   bool isOwnZone(std::string_view Zone) const noexcept {
     return Zone == Zone_.name();
   }
   const std::string &selfAddress() const noexcept { return Address_; }
-  /// The admission under which the newest record names this start of this
-  /// host; 0 where it does not. Another one than before tells that this host
-  /// was removed in between.
-  std::uint64_t admitted() const;
+  /// The generation at which the newest record admitted this incarnation of
+  /// this host; 0 if the record does not list it. A changed value means that
+  /// this host was removed in between.
+  std::uint64_t admissionGeneration() const;
   bool isRelay() const;
-  /// Relay or standby: these talk to the store.
+  /// True for the relay and the standby, and for a host that is not a member.
   bool talksToStore() const;
-  /// \returns whom to send heartbeats to, best first.
-  std::vector<Member> superiors() const;
+  /// \returns the members to send heartbeats to, best first.
+  std::vector<Member> heartbeatRecipients() const;
   /// \returns the other members of this host's zone.
   std::vector<Member> zonePeers() const;
-  /// \returns true where the lease needs pledges, as no record renews it.
+  /// \returns true if the lease depends on pledges because records do not renew
+  /// it.
   bool needsPledges(base::TimePoint Now) const;
 
   /// Calls \p Use with the replica, under the lock.
@@ -118,32 +126,33 @@
   }
 
 private:
-  void hearAll(const Json::Value &Request, base::TimePoint Now);
-  void takeRecord(const Json::Value &Answer, base::TimePoint Now);
-  void observe(const ZoneRecord &Record, std::uint64_t Version,
-               base::TimePoint Now);
-  void extend(base::TimePoint Now);
-  void enterDirectory(const Directory &Seen, std::uint64_t Version);
+  void receiveHeartbeats(const Json::Value &Request, base::TimePoint Now);
+  void receiveRecord(const Json::Value &Answer, base::TimePoint Now);
+  void observeRecord(const ZoneRecord &Record, std::uint64_t Version,
+                     base::TimePoint Now);
+  void extendLease(base::TimePoint Now);
+  void observeDirectory(const Directory &Seen, std::uint64_t Version);
   std::vector<base::HostId> voters(base::TimePoint Now) const;
   std::optional<Freshness> zoneFreshness(base::TimePoint Now) const;
 
-  const LeaseTiming Terms_;
+  const LeaseTiming Timing_;
   const base::ZoneId Zone_;
   const std::string Address_;
   mutable std::mutex Lock_;
   Member Self_;
   LeaseHolder Holder_;
-  ZoneRecordPlanner Keeper_;
-  LeaseGuard Guard_;
+  ZoneRecordPlanner Planner_;
+  LeaseGuard LeaseGuard_;
   Directory Directory_;
   std::uint64_t DirectoryVersion_ = 0;
   SettingsReplica Replica_;
   FreshnessVote Vote_;
-  /// Heartbeats of others to pass on with the next own one.
-  std::map<base::HostId, Member> PassOn_;
-  /// The newest clock reading each superior told, to be told back: what this
-  /// host says with it was said after it.
-  std::map<std::string, std::int64_t> Echoes_;
+  /// Heartbeats of other hosts, forwarded with the next own one.
+  std::map<base::HostId, Member> PendingForward_;
+  /// The newest clock reading received from each heartbeat recipient. It is
+  /// sent back with heartbeats to prove that their statements were made after
+  /// it.
+  std::map<std::string, std::int64_t> ClockEchoes_;
 };
 
 } // namespace lychee::fleet
--- a/libs/fleet/FreshnessVote.cpp
+++ b/libs/fleet/FreshnessVote.cpp
@@ -6,51 +6,53 @@
 
 namespace {
 
-/// Keeps the later statement of one voter.
-void keepLater(Freshness &Known, const Freshness &Stated) {
-  if (Known.At_ <= Stated.At_)
-    Known = Stated;
+/// Replaces \p Known unless \p Statement is older.
+void keepLatest(Freshness &Known, const Freshness &Statement) {
+  if (Known.At_ <= Statement.At_)
+    Known = Statement;
 }
 
-/// What two know together: as much as the better informed, as old as the older.
-Freshness together(const Freshness &Left, const Freshness &Right) {
+/// Combines two statements: the newer version, known at the earlier time.
+Freshness combine(const Freshness &Left, const Freshness &Right) {
   return {std::max(Left.Version_, Right.Version_),
           std::min(Left.At_, Right.At_)};
 }
 
 } // namespace
 
-void FreshnessVote::stated(const base::HostId &Host, const Freshness &Stated) {
-  keepLater(Hosts_[Host], Stated);
+void FreshnessVote::recordHost(const base::HostId &Host,
+                               const Freshness &Statement) {
+  keepLatest(Hosts_[Host], Statement);
 }
 
-void FreshnessVote::learned(const base::ZoneId &Zone, const Freshness &Stated) {
-  keepLater(Zones_[Zone], Stated);
+void FreshnessVote::recordZone(const base::ZoneId &Zone,
+                               const Freshness &Statement) {
+  keepLatest(Zones_[Zone], Statement);
 }
 
 std::optional<Freshness>
-FreshnessVote::ofZone(std::span<const base::HostId> Voters) const {
-  std::optional<Freshness> All;
-  for (const base::HostId &Each : Voters) {
-    const auto Found = Hosts_.find(Each);
+FreshnessVote::zoneFreshness(std::span<const base::HostId> Voters) const {
+  std::optional<Freshness> Combined;
+  for (const base::HostId &Voter : Voters) {
+    const auto Found = Hosts_.find(Voter);
     if (Found == Hosts_.end())
       return std::nullopt;
-    All = All ? together(*All, Found->second) : Found->second;
+    Combined = Combined ? combine(*Combined, Found->second) : Found->second;
   }
-  return All;
+  return Combined;
 }
 
 std::optional<Freshness>
-FreshnessVote::ofFleet(const std::optional<Freshness> &Own,
-                       std::span<const base::ZoneId> Others) const {
-  std::optional<Freshness> All = Own;
-  for (const base::ZoneId &Each : Others) {
-    const auto Found = Zones_.find(Each);
-    if (!All || Found == Zones_.end())
+FreshnessVote::fleetFreshness(const std::optional<Freshness> &Own,
+                              std::span<const base::ZoneId> Others) const {
+  std::optional<Freshness> Combined = Own;
+  for (const base::ZoneId &Zone : Others) {
+    const auto Found = Zones_.find(Zone);
+    if (!Combined || Found == Zones_.end())
       return std::nullopt;
-    All = together(*All, Found->second);
+    Combined = combine(*Combined, Found->second);
   }
-  return All;
+  return Combined;
 }
 
 } // namespace lychee::fleet
--- a/libs/fleet/LeaseGuard.cpp
+++ b/libs/fleet/LeaseGuard.cpp
@@ -18,14 +18,14 @@
 
 LeaseState LeaseGuard::check(base::TimePoint Now, std::uint64_t Epoch) const {
   const std::lock_guard Guard(Lock_);
-  if (Now >= Until_)
+  if (Now >= Expiry_)
     return LeaseState::Expired;
   return Epoch == Epoch_ ? LeaseState::Valid : LeaseState::OtherEpoch;
 }
 
 base::TimePoint LeaseGuard::expiry() const {
   const std::lock_guard Guard(Lock_);
-  return Until_;
+  return Expiry_;
 }
 
 std::uint64_t LeaseGuard::epoch() const {
@@ -38,23 +38,23 @@
   return Tenure_;
 }
 
-void LeaseGuard::extend(base::TimePoint Until, base::TimePoint Now) {
+void LeaseGuard::extend(base::TimePoint Expiry, base::TimePoint Now) {
   const std::lock_guard Guard(Lock_);
-  if (Until <= Now || Until <= Until_)
+  if (Expiry <= Now || Expiry <= Expiry_)
     return;
-  if (Now >= Until_)
+  if (Now >= Expiry_)
     ++Tenure_;
-  Until_ = Until;
+  Expiry_ = Expiry;
 }
 
-void LeaseGuard::enter(std::uint64_t Epoch) {
+void LeaseGuard::enterEpoch(std::uint64_t Epoch) {
   const std::lock_guard Guard(Lock_);
   Epoch_ = std::max(Epoch_, Epoch);
 }
 
-void LeaseGuard::drop() {
+void LeaseGuard::revoke() {
   const std::lock_guard Guard(Lock_);
-  Until_ = {};
+  Expiry_ = {};
 }
 
 } // namespace lychee::fleet
--- a/libs/fleet/LeaseGuard.h
+++ b/libs/fleet/LeaseGuard.h
@@ -12,19 +12,19 @@
 /// Whether this host may use what its lease covers.
 enum class LeaseState {
   Valid,
-  /// It ran out, or was never given.
+  /// The lease has expired or was never granted.
   Expired,
-  /// It stands, but what is asked about belongs to another epoch.
+  /// The lease is valid, but the epoch asked about is not the one in force.
   OtherEpoch,
 };
 
 /// \returns the state's name for logs.
 std::string_view nameOf(LeaseState State) noexcept;
 
-/// The one answer to "may I act now, in this epoch?". Asked again after any
-/// wait and right before the act, with the clock read anew: a process that was
-/// stopped for a minute gets its answer from the time after it woke up.
-/// Safe to use from several threads. \see LeaseHolder
+/// Decides whether this host may act now, in a given epoch. Check again after
+/// any wait and right before acting, with a fresh clock reading, so that a
+/// process that was stopped for a minute gets its answer for the time after it
+/// resumed. Safe to use from several threads. \see LeaseHolder
 class LeaseGuard {
 public:
   LeaseGuard() = default;
@@ -33,28 +33,29 @@
 
   LeaseState check(base::TimePoint Now, std::uint64_t Epoch) const;
 
-  /// When the lease ends unless it is extended, by this host's clock.
+  /// When the lease expires unless it is extended, by this host's clock.
   base::TimePoint expiry() const;
 
   /// The epoch in force on this host; 0 before the first.
   std::uint64_t epoch() const;
 
-  /// Rises whenever the lease had run out before it was extended again, or was
-  /// dropped: what was held under an earlier tenure may belong to others now.
+  /// Rises whenever extend() renews a lease that had expired or was revoked.
+  /// Shares held under an earlier tenure may belong to other hosts now.
   std::uint64_t tenure() const;
 
-  /// The lease holds until \p Until at least, known at \p Now.
-  void extend(base::TimePoint Until, base::TimePoint Now);
+  /// The lease is valid until at least \p Expiry, known at \p Now. Ignored if
+  /// that is over already or extends nothing.
+  void extend(base::TimePoint Expiry, base::TimePoint Now);
 
-  /// Epochs only rise; an older one is ignored.
-  void enter(std::uint64_t Epoch);
+  /// Enters \p Epoch. Epochs only rise; an older one is ignored.
+  void enterEpoch(std::uint64_t Epoch);
 
-  /// This host was removed: it holds nothing.
-  void drop();
+  /// Ends the lease, as this host was removed from its zone.
+  void revoke();
 
 private:
   mutable std::mutex Lock_;
-  base::TimePoint Until_;
+  base::TimePoint Expiry_;
   std::uint64_t Epoch_ = 0;
   std::uint64_t Tenure_ = 0;
 };
--- a/libs/fleet/LeaseHolder.cpp
+++ b/libs/fleet/LeaseHolder.cpp
@@ -4,50 +4,53 @@
 
 namespace lychee::fleet {
 
-std::uint64_t LeaseHolder::beat(base::TimePoint Now) {
-  ++Last_;
-  Sent_.push_back({Last_, Now});
-  // A confirmation of an older one could extend nothing any more.
-  while (Sent_.front().At_ + Terms_.Ttl_ < Now)
+std::uint64_t LeaseHolder::nextHeartbeat(base::TimePoint Now) {
+  ++LastSequence_;
+  Sent_.push_back({LastSequence_, Now});
+  // Confirming an older heartbeat could not extend the lease any more.
+  while (Sent_.front().SentAt_ + Timing_.Ttl_ < Now)
     Sent_.pop_front();
-  return Last_;
+  return LastSequence_;
 }
 
-void LeaseHolder::confirm(std::uint64_t Sequence) {
+void LeaseHolder::confirmHeartbeat(std::uint64_t Sequence) {
   while (!Sent_.empty() && Sent_.front().Sequence_ <= Sequence) {
     if (Sent_.front().Sequence_ == Sequence)
-      Confirmed_ = std::max(Confirmed_,
-                            Sent_.front().At_ + Terms_.shortened(Terms_.Ttl_));
+      ConfirmedExpiry_ =
+          std::max(ConfirmedExpiry_, Sent_.front().SentAt_ +
+                                         Timing_.holderDuration(Timing_.Ttl_));
     Sent_.pop_front();
   }
 }
 
-void LeaseHolder::pledge(const base::HostId &Host, base::TimePoint AskedAt) {
-  base::TimePoint &Until = Pledged_[Host];
-  Until = std::max(Until, AskedAt + Terms_.shortened(Terms_.Ttl_));
+void LeaseHolder::recordPledge(const base::HostId &Host,
+                               base::TimePoint RequestedAt) {
+  base::TimePoint &Expiry = PledgeExpiries_[Host];
+  Expiry = std::max(Expiry, RequestedAt + Timing_.holderDuration(Timing_.Ttl_));
 }
 
-base::TimePoint LeaseHolder::until(const ZoneRecord &Known,
-                                   const base::HostId &Self,
-                                   base::TimePoint Now) const {
-  // Alone in its zone nobody may remove this host: who is admitted later waits
-  // a lease's length from when this host said that it knows.
-  base::TimePoint Pledged = Now + Terms_.shortened(Terms_.Ttl_);
-  for (const Member &Each : Known.Members_) {
-    if (Each.Host_ == Self)
+base::TimePoint LeaseHolder::expiry(const ZoneRecord &Record,
+                                    const base::HostId &Self,
+                                    base::TimePoint Now) const {
+  // A host that is alone in its zone cannot be removed by anyone: a host
+  // admitted later waits for a lease's duration from when this host announced
+  // that it knows of the newcomer.
+  base::TimePoint PledgeExpiry = Now + Timing_.holderDuration(Timing_.Ttl_);
+  for (const Member &Entry : Record.Members_) {
+    if (Entry.Host_ == Self)
       continue;
-    const auto Found = Pledged_.find(Each.Host_);
-    if (Found == Pledged_.end())
-      return Confirmed_;
-    Pledged = std::min(Pledged, Found->second);
+    const auto Found = PledgeExpiries_.find(Entry.Host_);
+    if (Found == PledgeExpiries_.end())
+      return ConfirmedExpiry_;
+    PledgeExpiry = std::min(PledgeExpiry, Found->second);
   }
-  return std::max(Confirmed_, Pledged);
+  return std::max(ConfirmedExpiry_, PledgeExpiry);
 }
 
-void LeaseHolder::forget() {
+void LeaseHolder::reset() {
   Sent_.clear();
-  Confirmed_ = {};
-  Pledged_.clear();
+  ConfirmedExpiry_ = {};
+  PledgeExpiries_.clear();
 }
 
 } // namespace lychee::fleet
--- a/libs/fleet/LeaseHolder.h
+++ b/libs/fleet/LeaseHolder.h
@@ -12,49 +12,51 @@
 
 namespace lychee::fleet {
 
-/// A host's own side of its lease: remembers when it sent which heartbeat, and
-/// counts the lease from there, never from when an answer came.
+/// Tracks a host's own lease: remembers when each heartbeat was sent, and
+/// counts the lease from there, never from when the answer arrived.
 ///
-/// While the store is down no record can be written, so none without this host
-/// either. A host cannot tell that from being cut off from a store that works
-/// for others. It goes on past its lease only with a pledge from every other
-/// member of its zone, as only these may remove it: "I write no record without
-/// you until then". No clock, no I/O. \see LeaseGuard, ZoneRecordPlanner
+/// While the store is down no record can be written, so none that omits this
+/// host either. But a host cannot tell an outage from being cut off from a
+/// store that works for others. So it extends its lease without a record only
+/// with a pledge from every other member of its zone, since only these may
+/// remove it. A pledge is a peer's promise to write no record without this host
+/// until the pledge expires. Reads no clock, does no I/O.
+/// \see LeaseGuard, ZoneRecordPlanner
 class LeaseHolder {
 public:
-  explicit LeaseHolder(const LeaseTiming &Terms) : Terms_(Terms) {}
+  explicit LeaseHolder(const LeaseTiming &Timing) : Timing_(Timing) {}
 
-  /// Begins a heartbeat. \returns its sequence, from 1.
-  std::uint64_t beat(base::TimePoint Now);
+  /// Begins a heartbeat, sent at \p Now. \returns its sequence number, from 1.
+  std::uint64_t nextHeartbeat(base::TimePoint Now);
 
-  /// A record of the store holds heartbeat \p Sequence of this host.
-  void confirm(std::uint64_t Sequence);
+  /// A record in the store contains heartbeat \p Sequence of this host.
+  void confirmHeartbeat(std::uint64_t Sequence);
 
-  /// \p Host pledged itself, asked at \p AskedAt.
-  void pledge(const base::HostId &Host, base::TimePoint AskedAt);
+  /// \p Host granted a pledge that was requested at \p RequestedAt.
+  void recordPledge(const base::HostId &Host, base::TimePoint RequestedAt);
 
-  /// \param Known  the newest record this host knows, with itself in it.
-  /// \returns until when the lease holds, by record or by pledges.
-  base::TimePoint until(const ZoneRecord &Known, const base::HostId &Self,
-                        base::TimePoint Now) const;
+  /// \param Record  the newest record this host knows, with itself in it.
+  /// \returns when the lease expires, by records or by pledges.
+  base::TimePoint expiry(const ZoneRecord &Record, const base::HostId &Self,
+                         base::TimePoint Now) const;
 
-  /// Until when by record alone.
-  base::TimePoint confirmedUntil() const noexcept { return Confirmed_; }
+  /// When the lease expires by records alone.
+  base::TimePoint confirmedExpiry() const noexcept { return ConfirmedExpiry_; }
 
-  /// Removed: earlier confirmations and pledges are worth nothing.
-  void forget();
+  /// Discards all confirmations and pledges, as this host was removed.
+  void reset();
 
 private:
-  struct Beat {
+  struct SentHeartbeat {
     std::uint64_t Sequence_ = 0;
-    base::TimePoint At_;
+    base::TimePoint SentAt_;
   };
 
-  const LeaseTiming Terms_;
-  std::uint64_t Last_ = 0;
-  std::deque<Beat> Sent_;
-  base::TimePoint Confirmed_;
-  std::map<base::HostId, base::TimePoint> Pledged_;
+  const LeaseTiming Timing_;
+  std::uint64_t LastSequence_ = 0;
+  std::deque<SentHeartbeat> Sent_;
+  base::TimePoint ConfirmedExpiry_;
+  std::map<base::HostId, base::TimePoint> PledgeExpiries_;
 };
 
 } // namespace lychee::fleet
--- a/libs/fleet/Member.h
+++ b/libs/fleet/Member.h
@@ -10,43 +10,44 @@
 
 namespace lychee::fleet {
 
-/// One host of the fleet, as its zone's record names it.
+/// One host of the fleet, as listed in its zone's record.
 struct Member {
   base::HostId Host_;
   base::RegionId Region_;
-  /// IP:PORT for peers and operators, and for callers.
+  /// IP:PORT of the listener for peers and operators, and of the one for
+  /// callers.
   std::string PeerAddress_;
   std::string CallerAddress_;
-  /// Drawn anew at each start of the process.
+  /// Rises with each start of the process.
   std::uint64_t Incarnation_ = 0;
-  /// The newest heartbeat that a record holds; its lease counts from the moment
-  /// at which the host sent it.
+  /// Sequence number of the newest heartbeat in the record. The host's lease
+  /// counts from when it sent that heartbeat.
   std::uint64_t Sequence_ = 0;
-  /// The record's generation at which this host was admitted.
+  /// The generation of the record that admitted this host.
   std::uint64_t AdmissionGeneration_ = 0;
-  /// The newest generation that the host is known to know.
+  /// The newest generation that this host has acknowledged.
   std::uint64_t KnownGeneration_ = 0;
-  /// It finishes what it has and takes nothing new.
+  /// Completes its requests in progress and accepts no new ones.
   bool Leaving_ = false;
 
   bool operator==(const Member &) const = default;
 };
 
-/// The hosts of one availability zone and the leases they hold, as one object
-/// of the store: renewing them costs one write for the zone.
+/// The hosts of one availability zone and their leases, stored as one object,
+/// so that renewing all of them costs one write for the zone.
 struct ZoneRecord {
   base::ZoneId Zone_;
-  /// Rises whenever a host is admitted, removed or started anew.
+  /// Rises whenever a host is admitted, removed, restarted, or starts to leave.
   std::uint64_t Generation_ = 0;
-  /// Writes this record on behalf of all.
+  /// The host that writes this record on behalf of all.
   base::HostId Relay_;
-  /// In order of host names.
+  /// Ordered by host name.
   std::vector<Member> Members_;
 
   const Member *find(const base::HostId &Host) const noexcept {
-    for (const Member &Each : Members_)
-      if (Each.Host_ == Host)
-        return &Each;
+    for (const Member &Entry : Members_)
+      if (Entry.Host_ == Host)
+        return &Entry;
     return nullptr;
   }
 
--- a/libs/fleet/PeerAuthenticator.cpp
+++ b/libs/fleet/PeerAuthenticator.cpp
@@ -22,15 +22,15 @@
 
 std::string_view nameOf(ProofVerdict Verdict) noexcept {
   switch (Verdict) {
-  case ProofVerdict::Proven:
+  case ProofVerdict::Valid:
     return "proven";
   case ProofVerdict::WrongSignature:
     return "wrong_signature";
-  case ProofVerdict::OutOfTime:
+  case ProofVerdict::OutsideTimeWindow:
     return "out_of_time";
   case ProofVerdict::Replayed:
     return "replayed";
-  case ProofVerdict::Flooded:
+  case ProofVerdict::NonceLimitReached:
     return "flooded";
   }
   return "unknown";
@@ -57,8 +57,8 @@
 
 std::string PeerAuthenticator::signatureOf(std::string_view Body,
                                            const PeerProof &Proof) const {
-  // Each field but the last is free of line ends: two different proofs never
-  // give the same text.
+  // All fields but the last contain no line break, so two different proofs
+  // never give the same text.
   std::string Text = "call\n" + Proof.Host_ + '\n' +
                      std::to_string(Proof.SentAt_) + '\n' + Proof.Nonce_ + '\n';
   Text += Body;
@@ -82,26 +82,27 @@
     return ProofVerdict::WrongSignature;
   const std::int64_t NowMilliseconds = millisecondsOf(Now);
   if (std::abs(NowMilliseconds - Proof.SentAt_) > WindowMilliseconds)
-    return ProofVerdict::OutOfTime;
-  return remember(Proof, NowMilliseconds);
+    return ProofVerdict::OutsideTimeWindow;
+  return recordNonce(Proof, NowMilliseconds);
 }
 
-ProofVerdict PeerAuthenticator::remember(const PeerProof &Proof,
-                                         std::int64_t NowMilliseconds) {
+ProofVerdict PeerAuthenticator::recordNonce(const PeerProof &Proof,
+                                            std::int64_t NowMilliseconds) {
   const std::lock_guard Guard(Lock_);
-  // A proof older than the window is refused by its time: forgetting is safe.
-  while (!SeenByTime_.empty() &&
-         SeenByTime_.begin()->first < NowMilliseconds - WindowMilliseconds) {
-    Seen_.erase(SeenByTime_.begin()->second);
-    SeenByTime_.erase(SeenByTime_.begin());
+  // A proof older than the window is refused by its time, so its nonce may be
+  // discarded.
+  while (!NoncesByTime_.empty() &&
+         NoncesByTime_.begin()->first < NowMilliseconds - WindowMilliseconds) {
+    Nonces_.erase(NoncesByTime_.begin()->second);
+    NoncesByTime_.erase(NoncesByTime_.begin());
   }
-  if (Seen_.size() >= NonceLimit)
-    return ProofVerdict::Flooded;
+  if (Nonces_.size() >= MaxNonces)
+    return ProofVerdict::NonceLimitReached;
   auto Key = std::make_pair(Proof.Host_, Proof.Nonce_);
-  if (!Seen_.insert(Key).second)
+  if (!Nonces_.insert(Key).second)
     return ProofVerdict::Replayed;
-  SeenByTime_.emplace(Proof.SentAt_, std::move(Key));
-  return ProofVerdict::Proven;
+  NoncesByTime_.emplace(Proof.SentAt_, std::move(Key));
+  return ProofVerdict::Valid;
 }
 
 std::string PeerAuthenticator::signAnswer(std::string_view Body,
--- a/libs/fleet/PeerClient.cpp
+++ b/libs/fleet/PeerClient.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// \returns the two halves of IP:PORT; nothing where it is no such text.
+/// \returns address and port of IP:PORT; nothing if \p Peer has another form.
 std::optional<transport::HttpClientOptions> parsePeer(std::string_view Peer) {
   const std::size_t Colon = Peer.rfind(':');
   if (Colon == std::string_view::npos)
@@ -45,7 +45,7 @@
   std::string Body = RpcCall::encode(Method, Parameters);
   if (Body.empty()) {
     ++Failures_;
-    Last = {"rpc." + Method, Peer, "parameters are no JSON object"};
+    Last = {"rpc." + Method, Peer, "parameters are not a JSON object"};
     co_return std::nullopt;
   }
   const std::optional<std::string> Answer =
@@ -73,7 +73,7 @@
     Last.Step_ = Step;
     co_return std::nullopt;
   }
-  const PeerProof Proof = Authenticator_.sign(Body, Self_, drawNonce(),
+  const PeerProof Proof = Authenticator_.sign(Body, Self_, makeNonce(),
                                               base::SystemClock::wallNow());
   HttpRequest Request;
   Request.Method_ = "POST";
@@ -106,7 +106,7 @@
 std::shared_ptr<HttpClient> PeerClient::clientOf(const std::string &Peer,
                                                  base::Error &Last) {
   const std::lock_guard Guard(Lock_);
-  if (CutOff_.contains(Peer)) {
+  if (BlockedPeers_.contains(Peer)) {
     Last = {"", Peer, "cut off"};
     return nullptr;
   }
@@ -124,7 +124,7 @@
   return Client;
 }
 
-std::string PeerClient::drawNonce() {
+std::string PeerClient::makeNonce() {
   std::array<char, 32> Digits{};
   const std::lock_guard Guard(Lock_);
   char *End = Digits.data();
@@ -133,12 +133,12 @@
   return {Digits.data(), End};
 }
 
-void PeerClient::cutOff(std::set<std::string> Peers) {
+void PeerClient::blockPeers(std::set<std::string> Peers) {
   const std::lock_guard Guard(Lock_);
-  CutOff_ = std::move(Peers);
+  BlockedPeers_ = std::move(Peers);
 }
 
-void PeerClient::forget(const std::string &Peer) {
+void PeerClient::closeConnections(const std::string &Peer) {
   const std::lock_guard Guard(Lock_);
   Clients_.erase(Peer);
 }
--- a/libs/fleet/PeerClient.h
+++ b/libs/fleet/PeerClient.h
@@ -22,13 +22,14 @@
 
 namespace lychee::fleet {
 
-/// Calls the methods of other hosts, each call with one deadline. Keeps a few
+/// Calls RPC methods of other hosts, each call with one deadline. Keeps a few
 /// connections to each peer it talks to. Safe to use from several threads.
 /// \see PeerServer
 class PeerClient {
 public:
-  /// \param Seed  seeds the nonces; from the machine in programs.
-  /// \param Traffic  counts the calls' bytes; may be null.
+  /// \param Seed  seeds the nonces; programs take it from the operating
+  /// system's entropy.
+  /// \param Traffic  counts the bytes of all calls; may be null.
   PeerClient(boost::asio::any_io_executor Executor, base::HostId Self,
              const PeerAuthenticator &Authenticator, std::uint64_t Seed,
              transport::TrafficCounter *Traffic = nullptr);
@@ -36,19 +37,19 @@
   PeerClient &operator=(const PeerClient &) = delete;
 
   /// \param Peer  IP:PORT of the other host's peer listener.
-  /// \param Parameters  a JSON object's text.
-  /// \returns the result as JSON text, or nothing and \p Last filled. Where
-  /// nothing is returned the call may have run all the same.
+  /// \param Parameters  the text of a JSON object.
+  /// \returns the result as JSON text; nothing on failure, with \p Last filled.
+  /// A call that failed may have run on the peer all the same.
   boost::asio::awaitable<std::optional<std::string>>
   call(std::string Peer, std::string Method, std::string Parameters,
        base::Duration Timeout, base::Error &Last);
 
-  /// Fault path for tests: calls to these peers fail at once, as if the
-  /// network between had gone.
-  void cutOff(std::set<std::string> Peers);
+  /// Fault injection for tests: calls to these peers fail at once, as in a
+  /// network partition. Replaces the peers of the previous call.
+  void blockPeers(std::set<std::string> Peers);
 
-  /// Drops the connections to a host that left the fleet.
-  void forget(const std::string &Peer);
+  /// Closes the connections to a host that left the fleet.
+  void closeConnections(const std::string &Peer);
 
   std::uint64_t calls() const noexcept { return Calls_; }
   std::uint64_t failures() const noexcept { return Failures_; }
@@ -58,7 +59,7 @@
 private:
   std::shared_ptr<transport::HttpClient> clientOf(const std::string &Peer,
                                                   base::Error &Last);
-  std::string drawNonce();
+  std::string makeNonce();
   boost::asio::awaitable<std::optional<std::string>>
   exchange(const std::string &Peer, const std::string &Method, std::string Body,
            base::Duration Timeout, base::Error &Last);
@@ -70,7 +71,7 @@
   std::mutex Lock_;
   base::Random Random_;
   std::map<std::string, std::shared_ptr<transport::HttpClient>> Clients_;
-  std::set<std::string> CutOff_;
+  std::set<std::string> BlockedPeers_;
   std::atomic<std::uint64_t> Calls_ = 0;
   std::atomic<std::uint64_t> Failures_ = 0;
   std::atomic<std::uint64_t> BytesOut_ = 0;
--- a/libs/fleet/PeerServer.cpp
+++ b/libs/fleet/PeerServer.cpp
@@ -14,9 +14,9 @@
 
 namespace {
 
-/// Handlers at work at once. Heartbeats take well under a millisecond; only
-/// an operator's apply waits for the store, and two of these at once leave two
-/// threads for peers.
+/// Number of handlers that run at once. Heartbeats take well under a
+/// millisecond; only an operator's apply waits for the store, and two of these
+/// at a time leave two threads for peers.
 constexpr std::size_t WorkerCount = 4;
 
 constexpr std::string_view BearerPrefix = "Bearer ";
@@ -53,17 +53,17 @@
   Workers_.join();
 }
 
-ProofVerdict PeerServer::identify(const HttpRequest &Request, RpcCaller &Caller,
-                                  std::string &Nonce) {
+ProofVerdict PeerServer::authenticate(const HttpRequest &Request,
+                                      RpcCaller &Caller, std::string &Nonce) {
   const std::string_view Bearer = Request.header("Authorization");
   if (Bearer.size() > BearerPrefix.size() && Bearer.starts_with(BearerPrefix)) {
     Caller.OperatorToken_ = std::string(Bearer.substr(BearerPrefix.size()));
-    return ProofVerdict::Proven;
+    return ProofVerdict::Valid;
   }
   PeerProof Proof = proofOf(Request);
   const ProofVerdict Verdict =
       Authenticator_.check(Request.Body_, Proof, base::SystemClock::wallNow());
-  if (Verdict == ProofVerdict::Proven) {
+  if (Verdict == ProofVerdict::Valid) {
     Caller.Host_ = std::move(Proof.Host_);
     Nonce = std::move(Proof.Nonce_);
   }
@@ -78,14 +78,15 @@
     co_return withStatus(405);
   RpcCaller Caller;
   std::string Nonce;
-  const ProofVerdict Verdict = identify(Request, Caller, Nonce);
-  if (Verdict != ProofVerdict::Proven) {
+  const ProofVerdict Verdict = authenticate(Request, Caller, Nonce);
+  if (Verdict != ProofVerdict::Valid) {
     ++Refused_.at(static_cast<std::size_t>(Verdict));
     co_return withStatus(401);
   }
   ++(Nonce.empty() ? FromOperators_ : FromHosts_);
   HttpAnswer Answer;
-  Answer.Body_ = co_await run(std::move(Caller), std::move(Request.Body_));
+  Answer.Body_ =
+      co_await runHandler(std::move(Caller), std::move(Request.Body_));
   Answer.Headers_.push_back({"Content-Type", "application/json"});
   if (!Nonce.empty())
     Answer.Headers_.push_back(
@@ -94,8 +95,8 @@
   co_return Answer;
 }
 
-asio::awaitable<std::string> PeerServer::run(RpcCaller Caller,
-                                             std::string Body) {
+asio::awaitable<std::string> PeerServer::runHandler(RpcCaller Caller,
+                                                    std::string Body) {
   auto Work = [this, &Caller, &Body]() -> asio::awaitable<std::string> {
     co_return Handlers_.handle(Caller, Body);
   };
--- a/libs/fleet/PeerServer.h
+++ b/libs/fleet/PeerServer.h
@@ -14,29 +14,29 @@
 
 namespace lychee::fleet {
 
-/// Calls that a listener has taken and refused so far.
+/// Calls that a listener has accepted and refused so far.
 struct PeerServerCounts {
   std::uint64_t FromHosts_ = 0;
   std::uint64_t FromOperators_ = 0;
-  /// By verdict; the place of ProofVerdict::Proven stays 0.
+  /// Indexed by ProofVerdict; the entry of ProofVerdict::Valid stays 0.
   std::array<std::uint64_t, 5> Refused_{};
   std::uint64_t BytesIn_ = 0;
   std::uint64_t BytesOut_ = 0;
 };
 
-/// The peer and operator listener: POST /rpc with a JSON-RPC 2.0 call, which
-/// carries a host's proof or an operator's bearer token. Handlers run on a few
-/// threads of their own, so that one that blocks holds up neither callers nor
-/// heartbeats' arrival. \see PeerClient, RpcDispatcher
+/// The listener for peers and operators: POST /rpc with a JSON-RPC 2.0 call
+/// that carries a host's proof or an operator's bearer token. Handlers run on a
+/// small thread pool of their own, so that a blocking handler delays neither
+/// callers nor the receipt of heartbeats. \see PeerClient, RpcDispatcher
 class PeerServer {
 public:
-  /// \param Handlers  every method is bound already; outlives the server.
+  /// \param Handlers  has all methods bound already; must outlive the server.
   PeerServer(boost::asio::any_io_executor Executor,
              transport::HttpServerOptions Options, RpcDispatcher &Handlers,
              PeerAuthenticator &Authenticator);
   PeerServer(const PeerServer &) = delete;
   PeerServer &operator=(const PeerServer &) = delete;
-  /// Stops, and waits for handlers that run.
+  /// Stops, and waits for running handlers.
   ~PeerServer();
 
   bool listen(base::Error &Last) { return Server_.listen(Last); }
@@ -48,9 +48,10 @@
 private:
   boost::asio::awaitable<transport::HttpAnswer>
   answer(transport::HttpRequest Request);
-  boost::asio::awaitable<std::string> run(RpcCaller Caller, std::string Body);
-  ProofVerdict identify(const transport::HttpRequest &Request,
-                        RpcCaller &Caller, std::string &Nonce);
+  boost::asio::awaitable<std::string> runHandler(RpcCaller Caller,
+                                                 std::string Body);
+  ProofVerdict authenticate(const transport::HttpRequest &Request,
+                            RpcCaller &Caller, std::string &Nonce);
 
   RpcDispatcher &Handlers_;
   PeerAuthenticator &Authenticator_;
--- a/libs/fleet/SettingsReplica.cpp
+++ b/libs/fleet/SettingsReplica.cpp
@@ -7,66 +7,67 @@
 
 namespace lychee::fleet {
 
-bool SettingsReplica::offerRoot(std::uint64_t StoreVersion,
-                                std::string_view Text, base::Error &Last) {
-  if (StoreVersion <= newest())
+bool SettingsReplica::addRoot(std::uint64_t StoreVersion, std::string_view Text,
+                              base::Error &Last) {
+  if (StoreVersion <= newestVersion())
     return true;
   std::optional<settings::SettingsRoot> Parsed =
       settings::decodeRoot(Text, Last);
   if (!Parsed)
     return false;
-  Coming_ = Root{StoreVersion, std::string(Text), std::move(*Parsed)};
-  enforceIfWhole();
+  Pending_ = Root{StoreVersion, std::string(Text), std::move(*Parsed)};
+  applyIfComplete();
   return true;
 }
 
-std::uint64_t SettingsReplica::newest() const noexcept {
-  return Coming_ ? Coming_->StoreVersion_ : InForce_.StoreVersion_;
+std::uint64_t SettingsReplica::newestVersion() const noexcept {
+  return Pending_ ? Pending_->StoreVersion_ : Applied_.StoreVersion_;
 }
 
-std::vector<std::string> SettingsReplica::missing() const {
+std::vector<std::string> SettingsReplica::missingChunks() const {
   std::set<std::string> Wanted;
-  if (Coming_)
-    for (const auto &[Path, Hash] : Coming_->Parsed_.Documents_)
+  if (Pending_)
+    for (const auto &[Path, Hash] : Pending_->Parsed_.Documents_)
       if (!Chunks_.contains(Hash))
         Wanted.insert(Hash);
   return {Wanted.begin(), Wanted.end()};
 }
 
-bool SettingsReplica::offerChunk(const std::string &Hash, std::string Text) {
+bool SettingsReplica::addChunk(const std::string &Hash, std::string Text) {
   if (base::sha256Hex(Text) != Hash)
     return false;
-  const std::vector<std::string> Wanted = missing();
+  const std::vector<std::string> Wanted = missingChunks();
   if (std::find(Wanted.begin(), Wanted.end(), Hash) == Wanted.end())
     return true;
   Chunks_.insert_or_assign(Hash, std::move(Text));
-  enforceIfWhole();
+  applyIfComplete();
   return true;
 }
 
-void SettingsReplica::enforceIfWhole() {
-  if (!Coming_ || !missing().empty())
+void SettingsReplica::applyIfComplete() {
+  if (!Pending_ || !missingChunks().empty())
     return;
-  InForce_ = std::move(*Coming_);
-  Coming_.reset();
+  Applied_ = std::move(*Pending_);
+  Pending_.reset();
   Tree_ = {};
-  Tree_.Version_ = InForce_.Parsed_.Version_;
+  Tree_.Version_ = Applied_.Parsed_.Version_;
   std::map<std::string, std::string> Used;
-  for (const auto &[Path, Hash] : InForce_.Parsed_.Documents_) {
+  for (const auto &[Path, Hash] : Applied_.Parsed_.Documents_) {
     Tree_.Documents_[Path] = Chunks_.at(Hash);
     Used[Hash] = Chunks_.at(Hash);
   }
   Chunks_ = std::move(Used);
-  if (ConfirmedVersion_ == InForce_.StoreVersion_)
+  if (ConfirmedVersion_ == Applied_.StoreVersion_)
     FreshAt_ = std::max(FreshAt_.value_or(ConfirmedAt_), ConfirmedAt_);
 }
 
 void SettingsReplica::confirmNewest(std::uint64_t StoreVersion,
                                     base::TimePoint At) {
-  // From a side that is behind: it proves nothing about what it cannot see.
-  if (StoreVersion < newest())
+  // The confirming side is behind this host; it proves nothing about newer
+  // roots.
+  if (StoreVersion < newestVersion())
     return;
-  if (StoreVersion == InForce_.StoreVersion_) {
+  if (StoreVersion == Applied_.StoreVersion_) {
     FreshAt_ = std::max(FreshAt_.value_or(At), At);
     return;
   }
--- a/libs/fleet/SettingsReplica.h
+++ b/libs/fleet/SettingsReplica.h
@@ -15,45 +15,48 @@
 
 namespace lychee::fleet {
 
-/// One host's copy of the operators' settings: a root in force with all its
-/// chunks, and a newer root whose chunks are still on their way. Roots are told
-/// apart by the store's version of their object, and only newer ones count, so
-/// that no host ever goes back, whatever order things arrive in and whoever
-/// sends them. Chunks are known by their hash and checked against it.
+/// One host's copy of the operators' settings: an applied root with all its
+/// chunks, and possibly a newer root that still lacks chunks. Roots are ordered
+/// by the store version of their object and only newer ones are accepted, so
+/// that no host ever goes back, whatever the order or the sender of messages.
+/// Chunks are named by their hash and checked against it.
 ///
-/// It also knows how fresh it is: the last moment, by this host's clock, up to
-/// which every accepted change is known to be in force. No I/O, no clock.
+/// Also tracks freshness: the last moment, by this host's clock, up to which
+/// every accepted change is known to be applied. Does no I/O and reads no
+/// clock.
 /// \see docs/design/settings-spread.md
 class SettingsReplica {
 public:
-  /// A root was seen. \returns false, \p Last filled, where it is malformed;
-  /// older ones are passed over.
-  bool offerRoot(std::uint64_t StoreVersion, std::string_view Text,
-                 base::Error &Last);
+  /// Takes a root; older ones are ignored. \returns false, with \p Last filled,
+  /// if \p Text is malformed.
+  bool addRoot(std::uint64_t StoreVersion, std::string_view Text,
+               base::Error &Last);
 
-  /// \returns hashes of the chunks that the newest root still needs.
-  std::vector<std::string> missing() const;
+  /// \returns the hashes of the chunks that the newest root still lacks.
+  std::vector<std::string> missingChunks() const;
 
-  /// \returns false where \p Text is not what \p Hash names.
-  bool offerChunk(const std::string &Hash, std::string Text);
+  /// \returns false if \p Text does not match \p Hash.
+  bool addChunk(const std::string &Hash, std::string Text);
 
-  /// At \p At the newest root had \p StoreVersion, said the store, or all
-  /// hosts; \p At is before the question went out.
+  /// Records that at \p At the newest root was at \p StoreVersion, according to
+  /// the store or to all hosts. \p At must be a time before the query was sent.
   void confirmNewest(std::uint64_t StoreVersion, base::TimePoint At);
 
-  /// \returns how long ago every change accepted until then was known to be in
-  /// force; nothing where it never was.
+  /// \returns how long ago every change accepted by then was known to be
+  /// applied; nothing if it never was.
   std::optional<base::Duration> age(base::TimePoint Now) const;
 
-  /// The store's version of the root in force; 0 for none.
-  std::uint64_t inForce() const noexcept { return InForce_.StoreVersion_; }
-  /// The newest that is known of, in force or not.
-  std::uint64_t newest() const noexcept;
+  /// The store version of the applied root; 0 if there is none.
+  std::uint64_t appliedVersion() const noexcept {
+    return Applied_.StoreVersion_;
+  }
+  /// The store version of the newest known root, applied or not.
+  std::uint64_t newestVersion() const noexcept;
 
-  /// What is in force.
+  /// The applied settings.
   const settings::SettingsTree &tree() const noexcept { return Tree_; }
-  const std::string &rootText() const noexcept { return InForce_.Text_; }
-  /// \returns the chunk, or null where this host has not got it.
+  const std::string &rootText() const noexcept { return Applied_.Text_; }
+  /// \returns the chunk, or null if this host does not have it.
   const std::string *chunk(const std::string &Hash) const noexcept;
 
 private:
@@ -63,14 +66,14 @@
     settings::SettingsRoot Parsed_;
   };
 
-  void enforceIfWhole();
+  void applyIfComplete();
 
-  Root InForce_;
-  std::optional<Root> Coming_;
+  Root Applied_;
+  std::optional<Root> Pending_;
   std::map<std::string, std::string> Chunks_;
   settings::SettingsTree Tree_;
   std::optional<base::TimePoint> FreshAt_;
-  /// A confirmation of a root that is not in force yet.
+  /// Confirmation of a root that is not applied yet.
   std::uint64_t ConfirmedVersion_ = 0;
   base::TimePoint ConfirmedAt_;
 };
--- a/libs/fleet/rpc/RpcCall.cpp
+++ b/libs/fleet/rpc/RpcCall.cpp
@@ -21,8 +21,8 @@
   return Json::writeString(Builder, Value);
 }
 
-/// Keeps the library's message, and hands it an answer in return: the bytes
-/// travel over our own connection, between the two.
+/// Connector for the library that sends nothing: it stores the message and
+/// returns a given answer. The bytes travel over the project's own connection.
 class TextConnector : public jsonrpc::IClientConnector {
 public:
   explicit TextConnector(const std::string &Answer) : Answer_(Answer) {}
@@ -51,7 +51,7 @@
   Json::Value Value;
   if (!parseObject(Parameters, Value))
     return std::string();
-  // The answer stands in for the one to come, so that the library is content.
+  // The library requires an answer; this placeholder is discarded.
   TextConnector Connector("{\"jsonrpc\":\"2.0\",\"id\":1,\"result\":null}");
   jsonrpc::Client Client(Connector);
   Client.CallMethod(Method, Value);
--- a/libs/fleet/rpc/RpcCall.h
+++ b/libs/fleet/rpc/RpcCall.h
@@ -6,26 +6,27 @@
 namespace lychee {
 namespace fleet {
 
-/// How a handler answered: a result, or a code and a message.
+/// Result of a call: a value, or an error code and message.
 struct RpcOutcome {
-  /// 0 for a result; else a JSON-RPC error code.
+  /// 0 on success, otherwise a JSON-RPC error code.
   int Code_;
-  /// The result as JSON text, or the error's message.
+  /// The result as JSON text, or the error message.
   std::string Text_;
 };
 
-/// One JSON-RPC 2.0 call from the caller's side: its text, and what the answer
-/// to it says. Compiled as C++14, which libjsonrpccpp's headers need; this
-/// header knows neither the library nor newer C++. \see RpcDispatcher
+/// Client side of a JSON-RPC 2.0 call: encodes the call and decodes the answer.
+/// Compiled as C++14 because the headers of libjsonrpccpp require it; hence
+/// this header uses neither the library nor newer C++. \see RpcDispatcher
 class RpcCall {
 public:
   RpcCall() = delete;
 
-  /// Not a JSON-RPC answer at all.
+  /// Error code for text that is not a JSON-RPC answer.
   static constexpr int MalformedAnswer = -32099;
 
-  /// \param Parameters  a JSON object's text.
-  /// \returns the call's text; empty where \p Parameters is not an object.
+  /// \param Parameters  the text of a JSON object.
+  /// \returns the text of the call; empty if \p Parameters is not a JSON
+  /// object.
   static std::string encode(const std::string &Method,
                             const std::string &Parameters);
 
--- a/libs/fleet/rpc/RpcDispatcher.cpp
+++ b/libs/fleet/rpc/RpcDispatcher.cpp
@@ -28,8 +28,8 @@
          Method.compare(0, 9, "operator.") == 0;
 }
 
-/// The caller whose call this thread is working on: the library's protocol
-/// handler has no place to pass it through.
+/// The caller of the call that this thread handles; the library's protocol
+/// handler offers no way to pass it on.
 thread_local const RpcCaller *CurrentCaller = nullptr;
 
 } // namespace
--- a/libs/fleet/rpc/RpcDispatcher.h
+++ b/libs/fleet/rpc/RpcDispatcher.h
@@ -10,28 +10,31 @@
 namespace lychee {
 namespace fleet {
 
-/// Who makes a call, as far as the listener could tell.
+/// The caller of a method, as identified by the listener.
 struct RpcCaller {
-  /// The host, proven by the fleet secret; empty for an operator.
+  /// The host, authenticated by the fleet secret; empty for an operator.
   std::string Host_;
-  /// An operator's bearer token, not yet checked; empty for a host.
+  /// An operator's bearer token, not checked yet; empty for a host.
   std::string OperatorToken_;
 };
 
-/// Finds the handler of a JSON-RPC 2.0 call and writes the answer. A method
-/// whose name begins with "operator." is open to a caller that shows a token,
-/// which its handler checks; every other method takes proven hosts alone.
+/// Dispatches JSON-RPC 2.0 calls to handlers and encodes the answers. A method
+/// whose name begins with "operator." also accepts callers with a bearer token,
+/// which its handler checks; every other method accepts authenticated hosts
+/// only.
 ///
-/// Compiled as C++14, which libjsonrpccpp's headers need; this header knows
-/// neither the library nor newer C++. Bind everything first, then handle: calls
-/// may come from several threads. \see PeerServer
+/// Compiled as C++14 because the headers of libjsonrpccpp require it; hence
+/// this header uses neither the library nor newer C++. Bind all methods before
+/// the first call of handle(), which may then be called from several threads.
+/// \see PeerServer
 class RpcDispatcher {
 public:
-  /// Takes the parameters as a JSON object's text. May block within a bound.
+  /// Takes the parameters as the text of a JSON object. May block for a bounded
+  /// time.
   using Handler = std::function<RpcOutcome(const RpcCaller &Caller,
                                            const std::string &Parameters)>;
 
-  /// The caller may not call this method.
+  /// Error code for a caller that is not allowed to call the method.
   static constexpr int NotAllowed = -32001;
 
   RpcDispatcher();
@@ -42,7 +45,8 @@
   /// To be called once for each method, before the first handle().
   void bind(const std::string &Method, Handler Called);
 
-  /// \returns the answer's text; malformed text gets JSON-RPC's error answer.
+  /// \returns the text of the answer; malformed text gets a JSON-RPC error
+  /// answer.
   std::string handle(const RpcCaller &Caller, const std::string &Request);
 
 private:
--- a/tests/fleet/FleetStateTest.cpp
+++ b/tests/fleet/FleetStateTest.cpp
@@ -13,23 +13,23 @@
 constexpr base::TimePoint Now{seconds(1000)};
 
 Member member(const char *Name, std::uint64_t Incarnation,
-              std::uint64_t Admitted) {
-  Member Made;
-  Made.Host_ = base::HostId(Name);
-  Made.Region_ = base::RegionId("near");
-  Made.PeerAddress_ = "127.0.0.1:1";
-  Made.Incarnation_ = Incarnation;
-  Made.AdmissionGeneration_ = Admitted;
-  return Made;
+              std::uint64_t AdmissionGeneration) {
+  Member Result;
+  Result.Host_ = base::HostId(Name);
+  Result.Region_ = base::RegionId("near");
+  Result.PeerAddress_ = "127.0.0.1:1";
+  Result.Incarnation_ = Incarnation;
+  Result.AdmissionGeneration_ = AdmissionGeneration;
+  return Result;
 }
 
-fleet::ZoneRecord record(std::uint64_t AdmittedOfOther) {
-  fleet::ZoneRecord Made;
-  Made.Zone_ = base::ZoneId("near-1");
-  Made.Generation_ = 9;
-  Made.Relay_ = base::HostId("self");
-  Made.Members_ = {member("other", 5, AdmittedOfOther), member("self", 7, 2)};
-  return Made;
+fleet::ZoneRecord record(std::uint64_t OtherAdmission) {
+  fleet::ZoneRecord Result;
+  Result.Zone_ = base::ZoneId("near-1");
+  Result.Generation_ = 9;
+  Result.Relay_ = base::HostId("self");
+  Result.Members_ = {member("other", 5, OtherAdmission), member("self", 7, 2)};
+  return Result;
 }
 
 } // namespace
@@ -39,19 +39,19 @@
                     member("self", 7, 0), Now};
 };
 
-TEST(FleetState, tellsItsOwnAdmission) {
-  LONGS_EQUAL(0, State_.admitted());
-  State_.sawRecord(record(3), 1, Now);
-  LONGS_EQUAL(2, State_.admitted());
+TEST(FleetState, returnsItsAdmissionGeneration) {
+  LONGS_EQUAL(0, State_.admissionGeneration());
+  State_.handleRecord(record(3), 1, Now);
+  LONGS_EQUAL(2, State_.admissionGeneration());
 }
 
-// A host was paused, removed, and admitted anew before it heard of any of it.
-// Its shares are others' since. Cut off from the store, it asks for a pledge
-// under its old admission; granted, its lease would come back with the old
-// shares, and the customer would get them twice.
-TEST(FleetState, noPledgeForAnAdmissionThatIsOver) {
-  State_.sawRecord(record(8), 1, Now);
-  CHECK_FALSE(State_.pledge(base::HostId("other"), 3, Now));
-  CHECK(State_.pledge(base::HostId("other"), 8, Now));
-  CHECK_FALSE(State_.pledge(base::HostId("stranger"), 8, Now));
+// A host was paused, removed and admitted again without learning of it, and its
+// shares now belong to others. Cut off from the store, it requests a pledge
+// under its old admission. A pledge would make its lease valid again with the
+// old shares, so the customer would get them twice.
+TEST(FleetState, refusesAPledgeForAnEarlierAdmission) {
+  State_.handleRecord(record(8), 1, Now);
+  CHECK_FALSE(State_.grantPledge(base::HostId("other"), 3, Now));
+  CHECK(State_.grantPledge(base::HostId("other"), 8, Now));
+  CHECK_FALSE(State_.grantPledge(base::HostId("stranger"), 8, Now));
 }
--- a/tests/fleet/PeerAuthenticatorTest.cpp
+++ b/tests/fleet/PeerAuthenticatorTest.cpp
@@ -19,10 +19,10 @@
   }
 };
 
-TEST(PeerAuthenticator, proofHoldsOnce) {
-  CHECK(check(proof("n1")) == ProofVerdict::Proven);
+TEST(PeerAuthenticator, proofIsValidOnce) {
+  CHECK(check(proof("n1")) == ProofVerdict::Valid);
   CHECK(check(proof("n1")) == ProofVerdict::Replayed);
-  CHECK(check(proof("n2")) == ProofVerdict::Proven);
+  CHECK(check(proof("n2")) == ProofVerdict::Valid);
 }
 
 TEST(PeerAuthenticator, everyChangedFieldBreaksTheProof) {
@@ -39,29 +39,29 @@
   CHECK(check({}) == ProofVerdict::WrongSignature);
 }
 
-// A recorded call is sent again after the nonce has been forgotten: the time
-// bound must refuse it, whichever side of the window it falls on.
-TEST(PeerAuthenticator, replayAfterTheNonceIsForgottenIsOutOfTime) {
+// A recorded call is replayed after its nonce was discarded. The time window
+// must refuse it, whether its time is before or after the window.
+TEST(PeerAuthenticator, replayAfterTheNonceWasDiscardedIsOutsideTheTimeWindow) {
   const fleet::PeerProof Recorded = proof("n");
-  CHECK(check(Recorded) == ProofVerdict::Proven);
+  CHECK(check(Recorded) == ProofVerdict::Valid);
   for (int Step = 0; Step < 40; ++Step) {
     Now_ += std::chrono::seconds(1);
     const std::string Other = "other" + std::to_string(Step);
-    CHECK(check(proof(Other.c_str())) == ProofVerdict::Proven);
-    CHECK(check(Recorded) != ProofVerdict::Proven);
+    CHECK(check(proof(Other.c_str())) == ProofVerdict::Valid);
+    CHECK(check(Recorded) != ProofVerdict::Valid);
   }
   Now_ -= std::chrono::seconds(80);
-  CHECK(check(Recorded) == ProofVerdict::OutOfTime);
+  CHECK(check(Recorded) == ProofVerdict::OutsideTimeWindow);
 }
 
-TEST(PeerAuthenticator, rememberedNoncesAreBounded) {
-  std::size_t Taken = 0;
-  while (check(proof(std::to_string(Taken).c_str())) == ProofVerdict::Proven)
-    ++Taken;
-  UNSIGNED_LONGS_EQUAL(fleet::PeerAuthenticator::NonceLimit, Taken);
-  CHECK(check(proof("more")) == ProofVerdict::Flooded);
+TEST(PeerAuthenticator, storedNoncesAreBounded) {
+  std::size_t Accepted = 0;
+  while (check(proof(std::to_string(Accepted).c_str())) == ProofVerdict::Valid)
+    ++Accepted;
+  UNSIGNED_LONGS_EQUAL(fleet::PeerAuthenticator::MaxNonces, Accepted);
+  CHECK(check(proof("more")) == ProofVerdict::NonceLimitReached);
   Now_ += fleet::PeerAuthenticator::TimeWindow + std::chrono::seconds(1);
-  CHECK(check(proof("more")) == ProofVerdict::Proven);
+  CHECK(check(proof("more")) == ProofVerdict::Valid);
 }
 
 TEST(PeerAuthenticator, answerIsBoundToItsCall) {
--- a/tests/fleet/PeerRpcTest.cpp
+++ b/tests/fleet/PeerRpcTest.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 const char *const Secret = "0123456789abcdef0123456789abcdef";
-constexpr auto Patience = std::chrono::seconds(10);
+constexpr auto Timeout = std::chrono::seconds(10);
 
 } // namespace
 
@@ -50,34 +50,38 @@
 
   transport::HttpAnswer post(std::vector<transport::HttpHeader> Headers,
                              std::string Body) {
-    transport::HttpClient Plain(Io_.executor(), {"127.0.0.1", Server_.port()});
+    transport::HttpClient RawClient(Io_.executor(),
+                                    {"127.0.0.1", Server_.port()});
     bool Sent = false;
     transport::HttpRequest Request{"POST", "/rpc", std::move(Headers),
                                    std::move(Body)};
     return require(Io_.run(
-        Plain.exchange(std::move(Request), Patience, "test", Sent, Last_)));
+        RawClient.exchange(std::move(Request), Timeout, "test", Sent, Last_)));
   }
 };
 
-TEST(PeerRpc, callReachesTheHandlerWithTheProvenHost) {
+TEST(PeerRpc, callReachesTheHandlerWithTheAuthenticatedHost) {
   const auto Result = require(
-      Io_.run(Client_.call(Peer_, "echo", "{\"a\":1}", Patience, Last_)));
+      Io_.run(Client_.call(Peer_, "echo", "{\"a\":1}", Timeout, Last_)));
   STRCMP_EQUAL("{\"got\":{\"a\":1},\"host\":\"h1\"}", Result.c_str());
 }
 
-TEST(PeerRpc, handlersErrorComesBackWithStepAndPeer) {
-  CHECK_FALSE(Io_.run(Client_.call(Peer_, "fail", "{}", Patience, Last_)));
+TEST(PeerRpc, handlerErrorIsReturnedWithStepAndPeer) {
+  CHECK_FALSE(Io_.run(Client_.call(Peer_, "fail", "{}", Timeout, Last_)));
   STRCMP_EQUAL("rpc.fail", Last_.Step_.c_str());
   STRCMP_EQUAL(Peer_.c_str(), Last_.Peer_.c_str());
   STRCMP_CONTAINS("stale epoch", Last_.Reason_.c_str());
-  CHECK_FALSE(Io_.run(Client_.call(Peer_, "none", "{}", Patience, Last_)));
+  CHECK_FALSE(Io_.run(Client_.call(Peer_, "none", "{}", Timeout, Last_)));
   STRCMP_CONTAINS("-32601", Last_.Reason_.c_str());
 }
 
-TEST(PeerRpc, strangersAreRefusedAndCounted) {
-  const fleet::PeerAuthenticator Wrong("another secret, just as long as that");
-  fleet::PeerClient Stranger(Io_.executor(), base::HostId("h1"), Wrong, 2);
-  CHECK_FALSE(Io_.run(Stranger.call(Peer_, "echo", "{}", Patience, Last_)));
+TEST(PeerRpc, unauthenticatedCallersAreRefusedAndCounted) {
+  const fleet::PeerAuthenticator WrongSecret(
+      "another secret, just as long as that");
+  fleet::PeerClient Unauthenticated(Io_.executor(), base::HostId("h1"),
+                                    WrongSecret, 2);
+  CHECK_FALSE(
+      Io_.run(Unauthenticated.call(Peer_, "echo", "{}", Timeout, Last_)));
   STRCMP_EQUAL("status 401", Last_.Reason_.c_str());
   UNSIGNED_LONGLONGS_EQUAL(401, post({}, "{}").Status_);
   const auto Refused = Server_.counts().Refused_;
@@ -86,7 +90,7 @@
   UNSIGNED_LONGLONGS_EQUAL(0, Server_.counts().FromHosts_);
 }
 
-TEST(PeerRpc, operatorReachesOperatorMethodsAlone) {
+TEST(PeerRpc, operatorsMayCallOperatorMethodsOnly) {
   const std::vector<transport::HttpHeader> Token = {
       {"Authorization", "Bearer t0"}};
   const auto Shown = post(Token, fleet::RpcCall::encode("operator.show", "{}"));
@@ -97,23 +101,21 @@
               fleet::RpcCall::decode(Echoed.Body_).Code_);
 }
 
-TEST(PeerRpc, malformedCallsGetErrorsAndTheListenerGoesOn) {
+TEST(PeerRpc, malformedCallsGetErrorsAndTheListenerContinues) {
   const std::vector<transport::HttpHeader> Token = {
       {"Authorization", "Bearer t0"}};
   for (const char *Body : {"", "[", "[]", "{}", "{\"jsonrpc\":\"2.0\"}",
                            "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":7}"})
     CHECK(fleet::RpcCall::decode(post(Token, Body).Body_).Code_ != 0);
-  CHECK(
-      Io_.run(Client_.call(Peer_, "echo", "{}", Patience, Last_)).has_value());
+  CHECK(Io_.run(Client_.call(Peer_, "echo", "{}", Timeout, Last_)).has_value());
 }
 
-TEST(PeerRpc, cutOffPeerFailsAtOnceAndUncallablePeersAreNamed) {
-  Client_.cutOff({Peer_});
-  CHECK_FALSE(Io_.run(Client_.call(Peer_, "echo", "{}", Patience, Last_)));
+TEST(PeerRpc, callsToBlockedOrInvalidPeersFailWithTheReason) {
+  Client_.blockPeers({Peer_});
+  CHECK_FALSE(Io_.run(Client_.call(Peer_, "echo", "{}", Timeout, Last_)));
   STRCMP_EQUAL("cut off", Last_.Reason_.c_str());
-  Client_.cutOff({});
-  CHECK(
-      Io_.run(Client_.call(Peer_, "echo", "{}", Patience, Last_)).has_value());
-  CHECK_FALSE(Io_.run(Client_.call("nonsense", "echo", "{}", Patience, Last_)));
+  Client_.blockPeers({});
+  CHECK(Io_.run(Client_.call(Peer_, "echo", "{}", Timeout, Last_)).has_value());
+  CHECK_FALSE(Io_.run(Client_.call("nonsense", "echo", "{}", Timeout, Last_)));
   STRCMP_EQUAL("not IP:PORT", Last_.Reason_.c_str());
 }
--- a/tests/fleet/TestFleet.h
+++ b/tests/fleet/TestFleet.h
@@ -17,27 +17,28 @@
 
 namespace lychee::tests {
 
-/// Leases a tenth as long as in service, so that a test sees them end.
-inline fleet::LeaseTiming shortTerms() {
-  fleet::LeaseTiming Terms;
-  Terms.Ttl_ = std::chrono::milliseconds(2000);
-  Terms.HeartbeatInterval_ = std::chrono::milliseconds(100);
-  Terms.RenewalInterval_ = std::chrono::milliseconds(200);
-  Terms.RelayTimeout_ = std::chrono::milliseconds(600);
-  Terms.MaxPause_ = std::chrono::milliseconds(200);
-  return Terms;
+/// Leases and intervals much shorter than in production, so that tests see
+/// leases expire.
+inline fleet::LeaseTiming shortLeaseTiming() {
+  fleet::LeaseTiming Timing;
+  Timing.Ttl_ = std::chrono::milliseconds(2000);
+  Timing.HeartbeatInterval_ = std::chrono::milliseconds(100);
+  Timing.RenewalInterval_ = std::chrono::milliseconds(200);
+  Timing.RelayTimeout_ = std::chrono::milliseconds(600);
+  Timing.MaxPause_ = std::chrono::milliseconds(200);
+  return Timing;
 }
 
-/// One host of a test fleet, with listener, client and adapter of its own.
+/// One host of a test fleet, with its own listener, client and store adapter.
 struct TestHost {
   TestHost(IoThreads &Io, std::uint16_t StorePort, const std::string &Name,
            const std::string &Zone, std::vector<std::string> Seeds)
       : Authenticator_("0123456789abcdef0123456789abcdef"),
         Client_(Io.executor(), base::HostId(Name), Authenticator_,
                 base::stableHash(Name)),
-        Inner_(Io.executor(),
-               {"127.0.0.1", StorePort, Name, std::chrono::milliseconds(500)}),
-        Store_(Inner_, 200),
+        HttpStore_(Io.executor(), {"127.0.0.1", StorePort, Name,
+                                   std::chrono::milliseconds(500)}),
+        Store_(HttpStore_, 200),
         Server_(Io.executor(), {}, Handlers_, Authenticator_) {
     base::Error Last;
     Server_.listen(Last);
@@ -49,7 +50,7 @@
     Options.Self_.Incarnation_ = static_cast<std::uint64_t>(
         base::SystemClock::wallNow().time_since_epoch().count());
     Options.SeedPeers_ = std::move(Seeds);
-    Options.LeaseTiming_ = shortTerms();
+    Options.LeaseTiming_ = shortLeaseTiming();
     Options.RandomSeed_ = base::stableHash(Name);
     Node_ = std::make_unique<fleet::FleetNode>(Io.context(), Store_, Client_,
                                                Handlers_, std::move(Options),
@@ -57,11 +58,11 @@
     Node_->start();
   }
 
-  /// Falls silent at once, as a killed process does.
+  /// Stops without leaving, as a killed process does.
   void kill() {
     Node_->stop();
     Server_.stop();
-    Alive_ = false;
+    Running_ = false;
   }
 
   bool mayAct() const {
@@ -70,7 +71,7 @@
            fleet::LeaseState::Valid;
   }
 
-  /// \returns true where the settings are known fresh within \p Bound.
+  /// \returns true if the settings are known to be at most \p Bound old.
   bool isFresh(base::Duration Bound) const {
     const auto Age = Node_->settingsAge(base::SystemClock::monotonicNow());
     return Age && *Age <= Bound;
@@ -78,16 +79,17 @@
 
   fleet::PeerAuthenticator Authenticator_;
   fleet::PeerClient Client_;
-  store::HttpStore Inner_;
+  store::HttpStore HttpStore_;
   store::GuardedStore Store_;
   fleet::RpcDispatcher Handlers_;
   fleet::PeerServer Server_;
   std::unique_ptr<fleet::FleetNode> Node_;
   std::string Peer_;
-  bool Alive_ = true;
+  bool Running_ = true;
 };
 
-/// Hosts in one process that talk over 127.0.0.1, and the stand-in store.
+/// Hosts in one process that communicate over 127.0.0.1, and the stand-in
+/// store.
 class TestFleet {
 public:
   TestFleet() : Standin_(Io_.executor(), {}) {
@@ -95,8 +97,8 @@
     Standin_.listen(Last);
   }
   ~TestFleet() {
-    for (const auto &Each : Hosts_)
-      Each->Node_->stop();
+    for (const auto &Host : Hosts_)
+      Host->Node_->stop();
     Io_.stop();
   }
   TestFleet(const TestFleet &) = delete;
@@ -115,28 +117,28 @@
   standins::StandinStore &store() { return Standin_; }
   IoThreads &io() { return Io_; }
 
-  template <typename Predicate> bool eachLiving(Predicate Holds) {
-    for (const auto &Each : Hosts_)
-      if (Each->Alive_ && !Holds(*Each))
+  template <typename Predicate> bool allRunning(Predicate Holds) {
+    for (const auto &Host : Hosts_)
+      if (Host->Running_ && !Holds(*Host))
         return false;
     return true;
   }
 
-  template <typename Predicate> bool waitForEach(Predicate Holds) {
-    return waitFor([&] { return eachLiving(Holds); });
+  template <typename Predicate> bool waitForAll(Predicate Holds) {
+    return waitFor([&] { return allRunning(Holds); });
   }
 
-  /// \returns true once every living host knows a fleet of \p Count hosts and
+  /// \returns true once every running host knows a fleet of \p Count hosts and
   /// holds its lease.
   bool settle(std::size_t Count) {
-    return waitForEach([Count](const TestHost &Each) {
-      return Each.Node_->directory().hostCount() == Count && Each.mayAct();
+    return waitForAll([Count](const TestHost &Host) {
+      return Host.Node_->directory().hostCount() == Count && Host.mayAct();
     });
   }
 
   /// Writes version \p Version of the settings as an operator's change.
-  /// \returns the write's end.
-  store::PutResult write(TestHost &By, std::uint64_t Version,
+  /// \returns the result of the write.
+  store::PutResult write(TestHost &Writer, std::uint64_t Version,
                          const std::string &Document) {
     settings::SettingsRoot Root;
     Root.Version_ = Version;
@@ -144,12 +146,12 @@
     Root.Documents_["team/a.ini"] = Hash;
     const std::string Text = settings::encodeRoot(Root);
     base::Error Last;
-    Io_.run(By.Store_.put(settings::chunkPath(Hash), Document, 0, Last));
-    const store::PutResult Result = Io_.run(
-        By.Store_.put(settings::SettingsRoot::Path, Text, Version - 1, Last));
+    Io_.run(Writer.Store_.put(settings::chunkPath(Hash), Document, 0, Last));
+    const store::PutResult Result = Io_.run(Writer.Store_.put(
+        settings::SettingsRoot::Path, Text, Version - 1, Last));
     if (Result.Status_ == store::PutStatus::Written)
-      By.Node_->notifySettingsWritten(Result.Version_, Text,
-                                      {{Hash, Document}});
+      Writer.Node_->notifySettingsWritten(Result.Version_, Text,
+                                          {{Hash, Document}});
     return Result;
   }
 
