--- a/libs/exchange/EpochTracker.cpp
+++ b/libs/exchange/EpochTracker.cpp
@@ -13,14 +13,14 @@
     Settlement_.begin(Epoch - 1, Members);
   Settlement_.begin(Epoch, Members);
   Members_.assign(Members.begin(), Members.end());
-  const std::set<base::HostId> Open = Settlement_.pendingHosts();
-  for (const base::HostId &Each : Open)
-    if (std::find(Members_.begin(), Members_.end(), Each) == Members_.end())
-      Settlement_.recordLeaseEnd(Each);
+  const std::set<base::HostId> Pending = Settlement_.pendingHosts();
+  for (const base::HostId &Host : Pending)
+    if (std::find(Members_.begin(), Members_.end(), Host) == Members_.end())
+      Settlement_.recordLeaseEnd(Host);
   return true;
 }
 
-void EpochTracker::entered(const base::HostId &Host, std::uint64_t Epoch) {
+void EpochTracker::acknowledge(const base::HostId &Host, std::uint64_t Epoch) {
   const std::scoped_lock Guard(Lock_);
   if (Epoch >= Settlement_.epoch())
     Settlement_.acknowledge(Host, Settlement_.epoch());
@@ -36,7 +36,7 @@
   return Settlement_.settled();
 }
 
-std::vector<base::HostId> EpochTracker::waitedFor() const {
+std::vector<base::HostId> EpochTracker::pendingHosts() const {
   const std::scoped_lock Guard(Lock_);
   return {Settlement_.pendingHosts().begin(), Settlement_.pendingHosts().end()};
 }
--- a/libs/exchange/EpochTracker.h
+++ b/libs/exchange/EpochTracker.h
@@ -9,31 +9,32 @@
 
 namespace lychee::exchange {
 
-/// Follows the fleet's membership epochs at one host and tells when the newest
-/// has settled. A host that the directory no longer names has no lease: its
-/// record was written without it only after the lease had run out
-/// (\see fleet::ZoneRecordPlanner), so it is not waited for.
+/// Tracks the fleet's membership epochs on one host and determines when the
+/// newest one has settled. A host that the directory no longer lists has no
+/// lease, since a record without it was written only after the lease had
+/// expired (\see fleet::ZoneRecordPlanner); so it is not waited for.
 ///
 /// A host that has just started knows no older epoch, but its peers may still
-/// hold shares of one; it waits for each of them to say that it has entered.
-/// Thread-safe, no I/O. \see budget::EpochSettlement
+/// hold shares of one. It waits until each of them has entered the current
+/// epoch. Thread-safe, no I/O. \see budget::EpochSettlement
 class EpochTracker {
 public:
   EpochTracker() = default;
   EpochTracker(const EpochTracker &) = delete;
   EpochTracker &operator=(const EpochTracker &) = delete;
 
-  /// The directory names \p Members in \p Epoch.
-  /// \returns true where the epoch is newer than all before.
+  /// The directory lists \p Members in \p Epoch.
+  /// \returns true if the epoch is newer than all before.
   bool enter(std::uint64_t Epoch, std::span<const base::HostId> Members);
 
-  /// \p Host stands in \p Epoch, or in a newer one, with all that it uses.
-  void entered(const base::HostId &Host, std::uint64_t Epoch);
+  /// \p Host has entered \p Epoch with everything that it uses. Acknowledges
+  /// the current epoch if \p Epoch is not older.
+  void acknowledge(const base::HostId &Host, std::uint64_t Epoch);
 
   std::uint64_t epoch() const;
   bool settled() const;
-  /// \returns the hosts waited for, for logs.
-  std::vector<base::HostId> waitedFor() const;
+  /// \returns the hosts that have not entered the current epoch yet, for logs.
+  std::vector<base::HostId> pendingHosts() const;
 
 private:
   mutable std::mutex Lock_;
--- a/libs/exchange/ExchangeCodec.h
+++ b/libs/exchange/ExchangeCodec.h
@@ -11,9 +11,9 @@
 
 namespace lychee::exchange {
 
-/// JSON of what hosts send each other about shares. Member names are one or
-/// two letters: reports are the most frequent message of the fleet, and bytes
-/// of control are bounded. A text that is not whole gives nothing.
+/// Converts the messages about shares to and from JSON. Member names are one or
+/// two letters, as reports are the most frequent message of the fleet and
+/// control traffic is bounded. Decoding returns nothing for an incomplete text.
 class ExchangeCodec {
 public:
   ExchangeCodec() = delete;
@@ -23,14 +23,15 @@
 
   static std::string encode(const steering::SlotRequest &From);
   static std::optional<steering::SlotRequest>
-  decodeSlotAsk(std::string_view Text);
+  decodeSlotRequest(std::string_view Text);
 
   static std::string encode(const steering::SlotGrant &From);
   static std::optional<steering::SlotGrant>
-  decodeSlotGift(std::string_view Text);
+  decodeSlotGrant(std::string_view Text);
 
   static std::string encode(const budget::ShareRequest &From);
-  static std::optional<budget::ShareRequest> decodeAsk(std::string_view Text);
+  static std::optional<budget::ShareRequest>
+  decodeShareRequest(std::string_view Text);
 
   static std::string encode(const budget::Transfer &From);
   static std::optional<budget::Transfer> decodeTransfer(std::string_view Text);
--- a/libs/exchange/ExchangeNode.cpp
+++ b/libs/exchange/ExchangeNode.cpp
@@ -23,11 +23,11 @@
 constexpr const char *ReportMethod = "exchange.report";
 constexpr const char *SlotsMethod = "exchange.slots";
 constexpr const char *RateMethod = "exchange.rate";
-constexpr int MalformedCode = -32602;
-constexpr const char *Nothing = "{}";
+constexpr int InvalidParametersCode = -32602;
+constexpr const char *EmptyObject = "{}";
 
-fleet::RpcOutcome malformed() {
-  return {MalformedCode, "parameters are not whole"};
+fleet::RpcOutcome invalidParameters() {
+  return {InvalidParametersCode, "parameters are not whole"};
 }
 
 asio::awaitable<void> sleep(base::Duration Span) {
@@ -47,9 +47,10 @@
                            fleet::RpcDispatcher &Handlers,
                            const base::HostId &SelfName,
                            std::uint64_t Incarnation,
-                           ExchangeDependencies Parts)
+                           ExchangeDependencies Dependencies)
     : Executor_(Executor), Peers_(Peers),
-      Self_(incarnationId(SelfName, Incarnation)), Parts_(std::move(Parts)),
+      Self_(incarnationId(SelfName, Incarnation)),
+      Dependencies_(std::move(Dependencies)),
       Random_(base::stableHash(Self_.name())) {
   bind(Handlers);
 }
@@ -57,27 +58,27 @@
 void ExchangeNode::bind(fleet::RpcDispatcher &Handlers) {
   Handlers.bind(ReportMethod,
                 [this](const fleet::RpcCaller &, const std::string &Text) {
-                  return hearReport(Text);
+                  return handleReport(Text);
                 });
   Handlers.bind(SlotsMethod,
                 [this](const fleet::RpcCaller &, const std::string &Text) {
-                  return hearSlotAsk(Text);
+                  return handleSlotRequest(Text);
                 });
   Handlers.bind(RateMethod,
                 [this](const fleet::RpcCaller &, const std::string &Text) {
-                  return hearAsk(Text);
+                  return handleRateRequest(Text);
                 });
 }
 
-void ExchangeNode::spawn(Task Started) {
-  asio::co_spawn(Executor_, std::move(Started),
+void ExchangeNode::spawn(Task Spawned) {
+  asio::co_spawn(Executor_, std::move(Spawned),
                  [](const std::exception_ptr &Thrown) {
                    reporting::logThrown("exchange-failed", Thrown);
                  });
 }
 
 void ExchangeNode::start() {
-  spawn(askLoop());
+  spawn(requestLoop());
   spawn(reportLoop());
 }
 
@@ -85,188 +86,197 @@
 
 void ExchangeNode::directoryChanged(const fleet::Directory &Changed,
                                     base::TimePoint Now) {
-  std::vector<base::HostId> Processes;
+  std::vector<base::HostId> Incarnations;
   std::vector<steering::Member> Members;
   std::map<base::HostId, std::string> Addresses;
   for (const auto &[Id, Zone] : Changed.Zones_)
-    for (const fleet::Member &Each : Zone.Members_) {
-      const base::HostId Process = incarnationId(Each.Host_, Each.Incarnation_);
-      Processes.push_back(Process);
-      Members.push_back({Process, Each.Region_});
-      if (Process != Self_)
-        Addresses[Process] = Each.PeerAddress_;
+    for (const fleet::Member &Entry : Zone.Members_) {
+      const base::HostId Incarnation =
+          incarnationId(Entry.Host_, Entry.Incarnation_);
+      Incarnations.push_back(Incarnation);
+      Members.push_back({Incarnation, Entry.Region_});
+      if (Incarnation != Self_)
+        Addresses[Incarnation] = Entry.PeerAddress_;
     }
   {
     const std::scoped_lock Guard(Lock_);
     Addresses_.swap(Addresses);
   }
-  if (std::find(Processes.begin(), Processes.end(), Self_) == Processes.end())
+  if (std::find(Incarnations.begin(), Incarnations.end(), Self_) ==
+      Incarnations.end())
     return;
-  if (!Epochs_.enter(Changed.Epoch_, Processes))
+  if (!Epochs_.enter(Changed.Epoch_, Incarnations))
     return;
-  std::vector<base::HostId> Others = Processes;
+  std::vector<base::HostId> Others = Incarnations;
   std::erase(Others, Self_);
   Offers_.setPeers(Others);
-  Parts_.Steering_.setPeers(Others);
-  Parts_.Steering_.enterEpoch(Changed.Epoch_, Members);
-  Parts_.Rates_.enterEpoch({Changed.Epoch_,
-                            static_cast<std::uint32_t>(Processes.size()),
-                            Parts_.LeaseExpiry_(Changed.Epoch_)},
-                           Now);
+  Dependencies_.Steering_.setPeers(Others);
+  Dependencies_.Steering_.enterEpoch(Changed.Epoch_, Members);
+  Dependencies_.Rates_.enterEpoch(
+      {Changed.Epoch_, static_cast<std::uint32_t>(Incarnations.size()),
+       Dependencies_.LeaseExpiry_(Changed.Epoch_)},
+      Now);
 }
 
-void ExchangeNode::followEpoch(base::TimePoint Now) {
+void ExchangeNode::updateEpoch(base::TimePoint Now) {
   const std::uint64_t Epoch = Epochs_.epoch();
   if (Epoch == 0)
     return;
-  Parts_.Rates_.renewLease(Epoch, Parts_.LeaseExpiry_(Epoch), Now);
-  if (Parts_.Steering_.conformsToEpoch())
-    Epochs_.entered(Self_, Epoch);
-  if (Settled_ == Epoch || !Epochs_.settled())
+  Dependencies_.Rates_.renewLease(Epoch, Dependencies_.LeaseExpiry_(Epoch),
+                                  Now);
+  if (Dependencies_.Steering_.conformsToEpoch())
+    Epochs_.acknowledge(Self_, Epoch);
+  if (SettledEpoch_ == Epoch || !Epochs_.settled())
     return;
-  Settled_ = Epoch;
-  Parts_.Rates_.settle(Epoch, Now);
-  Parts_.Steering_.settleEpoch(Epoch);
+  SettledEpoch_ = Epoch;
+  Dependencies_.Rates_.settle(Epoch, Now);
+  Dependencies_.Steering_.settleEpoch(Epoch);
   reporting::logLine(
       reporting::LogLevel::Info,
       base::KeyValueLine().add("event", "epoch-settled").add("epoch", Epoch));
 }
 
-// Own asks and reports.
+// Own requests and reports.
 
-asio::awaitable<void> ExchangeNode::askLoop() {
+asio::awaitable<void> ExchangeNode::requestLoop() {
   while (!Stopped_) {
     const base::TimePoint Now = SystemClock::monotonicNow();
-    followEpoch(Now);
-    for (steering::SlotRequest &Each : Parts_.Steering_.slotRequests(Now))
-      if (const auto Address = addressOf(Each.Donor_))
-        spawn(askSlots(*Address, std::move(Each)));
-    for (const budget::ShareRequest &Each : Parts_.Rates_.dueRequests(Now))
-      for (const base::HostId &Donor : Offers_.takeDonors(Each, Now, Random_))
+    updateEpoch(Now);
+    for (steering::SlotRequest &Request :
+         Dependencies_.Steering_.slotRequests(Now))
+      if (const auto Address = addressOf(Request.Donor_))
+        spawn(requestSlots(*Address, std::move(Request)));
+    for (const budget::ShareRequest &Request :
+         Dependencies_.Rates_.dueRequests(Now))
+      for (const base::HostId &Donor :
+           Offers_.takeDonors(Request, Now, Random_))
         if (const auto Address = addressOf(Donor))
-          spawn(askRate(*Address, Each));
-    co_await sleep(AskInterval);
+          spawn(requestRate(*Address, Request));
+    co_await sleep(RequestInterval);
   }
 }
 
 asio::awaitable<void> ExchangeNode::reportLoop() {
-  std::uint64_t LastTold = 0;
-  base::TimePoint LastAt;
+  std::uint64_t LastHash = 0;
+  base::TimePoint LastSentAt;
   while (!Stopped_) {
     const base::TimePoint Now = SystemClock::monotonicNow();
-    const HostReport Report = report(Now);
-    const std::uint64_t Significance = significanceOf(Report);
-    if (Significance != LastTold || Now - LastAt >= RepeatInterval) {
-      LastTold = Significance;
-      LastAt = Now;
+    const HostReport Report = makeReport(Now);
+    const std::uint64_t Hash = significanceHash(Report);
+    if (Hash != LastHash || Now - LastSentAt >= RepeatInterval) {
+      LastHash = Hash;
+      LastSentAt = Now;
       const std::string Text = ExchangeCodec::encode(Report);
-      for (std::string &Address : nextPeers())
-        spawn(tell(std::move(Address), Text));
+      for (std::string &Address : nextReportPeers())
+        spawn(sendReport(std::move(Address), Text));
     }
     co_await sleep(ReportInterval);
   }
 }
 
-HostReport ExchangeNode::report(base::TimePoint Now) const {
+HostReport ExchangeNode::makeReport(base::TimePoint Now) const {
   HostReport Report;
-  Report.Round_ = Parts_.Steering_.makeLoadUpdate(Now);
-  Report.Round_.Host_ = Self_;
-  Report.Offers_ = Parts_.Rates_.offers(Now);
-  Report.Evidence_ = Parts_.Steering_.crashSuspects().evidence(Now);
-  Report.Entered_ = Parts_.Steering_.conformsToEpoch() ? Epochs_.epoch() : 0;
+  Report.LoadUpdate_ = Dependencies_.Steering_.makeLoadUpdate(Now);
+  Report.LoadUpdate_.Host_ = Self_;
+  Report.Offers_ = Dependencies_.Rates_.offers(Now);
+  Report.Evidence_ = Dependencies_.Steering_.crashSuspects().evidence(Now);
+  Report.EnteredEpoch_ =
+      Dependencies_.Steering_.conformsToEpoch() ? Epochs_.epoch() : 0;
   return Report;
 }
 
-std::vector<std::string> ExchangeNode::nextPeers() {
+std::vector<std::string> ExchangeNode::nextReportPeers() {
   const std::scoped_lock Guard(Lock_);
   std::vector<std::string> All;
   All.reserve(Addresses_.size());
-  for (const auto &[Process, Address] : Addresses_)
+  for (const auto &[Incarnation, Address] : Addresses_)
     All.push_back(Address);
-  if (All.size() <= FanOut)
+  if (All.size() <= ReportFanOut)
     return All;
   std::rotate(All.begin(),
               All.begin() + static_cast<std::ptrdiff_t>(NextPeer_ % All.size()),
               All.end());
-  NextPeer_ += FanOut;
-  All.resize(FanOut);
+  NextPeer_ += ReportFanOut;
+  All.resize(ReportFanOut);
   return All;
 }
 
 std::optional<std::string>
-ExchangeNode::addressOf(const base::HostId &Process) const {
+ExchangeNode::addressOf(const base::HostId &Incarnation) const {
   const std::scoped_lock Guard(Lock_);
-  const auto Found = Addresses_.find(Process);
+  const auto Found = Addresses_.find(Incarnation);
   if (Found == Addresses_.end())
     return std::nullopt;
   return Found->second;
 }
 
-asio::awaitable<void> ExchangeNode::tell(std::string Address,
-                                         std::string Report) {
+asio::awaitable<void> ExchangeNode::sendReport(std::string Address,
+                                               std::string Report) {
   base::Error Ignored;
   co_await Peers_.call(std::move(Address), ReportMethod, std::move(Report),
                        CallTimeout, Ignored);
 }
 
-asio::awaitable<void> ExchangeNode::askSlots(std::string Address,
-                                             steering::SlotRequest Asked) {
+asio::awaitable<void>
+ExchangeNode::requestSlots(std::string Address, steering::SlotRequest Request) {
   base::Error Ignored;
-  const auto Answer =
-      co_await Peers_.call(std::move(Address), SlotsMethod,
-                           ExchangeCodec::encode(Asked), CallTimeout, Ignored);
+  const auto Answer = co_await Peers_.call(std::move(Address), SlotsMethod,
+                                           ExchangeCodec::encode(Request),
+                                           CallTimeout, Ignored);
   if (!Answer)
     co_return;
-  const auto Gift = ExchangeCodec::decodeSlotGift(*Answer);
-  if (!Gift)
+  const auto Grant = ExchangeCodec::decodeSlotGrant(*Answer);
+  if (!Grant)
     co_return;
-  std::vector<steering::Wakeup> Woken;
-  Parts_.Steering_.acceptSlots(*Gift, SystemClock::monotonicNow(), Woken);
-  if (!Woken.empty())
-    Parts_.OnWakeups_(Woken);
+  std::vector<steering::Wakeup> Wakeups;
+  Dependencies_.Steering_.acceptSlots(*Grant, SystemClock::monotonicNow(),
+                                      Wakeups);
+  if (!Wakeups.empty())
+    Dependencies_.OnWakeups_(Wakeups);
 }
 
-asio::awaitable<void> ExchangeNode::askRate(std::string Address,
-                                            budget::ShareRequest Asked) {
+asio::awaitable<void> ExchangeNode::requestRate(std::string Address,
+                                                budget::ShareRequest Request) {
   base::Error Ignored;
-  const auto Answer =
-      co_await Peers_.call(std::move(Address), RateMethod,
-                           ExchangeCodec::encode(Asked), CallTimeout, Ignored);
+  const auto Answer = co_await Peers_.call(std::move(Address), RateMethod,
+                                           ExchangeCodec::encode(Request),
+                                           CallTimeout, Ignored);
   if (!Answer)
     co_return;
-  if (const auto Given = ExchangeCodec::decodeTransfer(*Answer))
-    Parts_.Rates_.accept(*Given, SystemClock::monotonicNow());
+  if (const auto Transfer = ExchangeCodec::decodeTransfer(*Answer))
+    Dependencies_.Rates_.accept(*Transfer, SystemClock::monotonicNow());
 }
 
-// Peers' calls.
+// Calls from peers.
 
-fleet::RpcOutcome ExchangeNode::hearReport(const std::string &Text) {
+fleet::RpcOutcome ExchangeNode::handleReport(const std::string &Text) {
   const auto Report = ExchangeCodec::decodeReport(Text);
   if (!Report)
-    return malformed();
+    return invalidParameters();
   const base::TimePoint Now = SystemClock::monotonicNow();
-  Parts_.Steering_.receiveLoadUpdate(Report->Round_, Now);
-  Parts_.Steering_.crashSuspects().merge(Report->Evidence_, Now);
-  Offers_.update(Report->Round_.Host_, Report->Offers_, Now);
-  Epochs_.entered(Report->Round_.Host_, Report->Entered_);
-  return {0, Nothing};
+  Dependencies_.Steering_.receiveLoadUpdate(Report->LoadUpdate_, Now);
+  Dependencies_.Steering_.crashSuspects().merge(Report->Evidence_, Now);
+  Offers_.update(Report->LoadUpdate_.Host_, Report->Offers_, Now);
+  Epochs_.acknowledge(Report->LoadUpdate_.Host_, Report->EnteredEpoch_);
+  return {0, EmptyObject};
 }
 
-fleet::RpcOutcome ExchangeNode::hearSlotAsk(const std::string &Text) {
-  const auto Asked = ExchangeCodec::decodeSlotAsk(Text);
-  if (!Asked)
-    return malformed();
-  const auto Gift =
-      Parts_.Steering_.grantSlots(*Asked, SystemClock::monotonicNow());
-  return {0, Gift ? ExchangeCodec::encode(*Gift) : Nothing};
+fleet::RpcOutcome ExchangeNode::handleSlotRequest(const std::string &Text) {
+  const auto Request = ExchangeCodec::decodeSlotRequest(Text);
+  if (!Request)
+    return invalidParameters();
+  const auto Grant =
+      Dependencies_.Steering_.grantSlots(*Request, SystemClock::monotonicNow());
+  return {0, Grant ? ExchangeCodec::encode(*Grant) : EmptyObject};
 }
 
-fleet::RpcOutcome ExchangeNode::hearAsk(const std::string &Text) {
-  const auto Asked = ExchangeCodec::decodeAsk(Text);
-  if (!Asked)
-    return malformed();
-  const auto Given = Parts_.Rates_.donate(*Asked, SystemClock::monotonicNow());
-  return {0, Given ? ExchangeCodec::encode(*Given) : Nothing};
+fleet::RpcOutcome ExchangeNode::handleRateRequest(const std::string &Text) {
+  const auto Request = ExchangeCodec::decodeShareRequest(Text);
+  if (!Request)
+    return invalidParameters();
+  const auto Transfer =
+      Dependencies_.Rates_.donate(*Request, SystemClock::monotonicNow());
+  return {0, Transfer ? ExchangeCodec::encode(*Transfer) : EmptyObject};
 }
 
 } // namespace lychee::exchange
--- a/libs/exchange/ExchangeNode.h
+++ b/libs/exchange/ExchangeNode.h
@@ -24,43 +24,44 @@
 
 namespace lychee::exchange {
 
-/// What the exchange moves, and whom it tells.
+/// Collaborators and callbacks of ExchangeNode.
 struct ExchangeDependencies {
   steering::FleetSteering &Steering_;
   budget::RateBudgets &Rates_;
-  /// Takes decisions on requests that waited for the slots of a gift.
+  /// Receives the decisions on requests that waited for the slots of a grant.
   std::function<void(std::vector<steering::Wakeup> &)> OnWakeups_;
-  /// \returns until when this host's lease in \p Epoch stands; a time in the
-  /// past where it has none. Asked again before each use.
+  /// \returns when this host's lease in \p Epoch expires; a time in the past if
+  /// it has none. Called again before each use.
   std::function<base::TimePoint(std::uint64_t Epoch)> LeaseExpiry_;
 };
 
-/// One host's exchange with its peers: tells them every ReportInterval what it
-/// can spare, asks for what it lacks, answers their asks, and enters and
-/// settles membership epochs.
+/// Exchanges shares between one host and its peers: sends a report of what it
+/// can spare at most every ReportInterval, requests the slots and rates it
+/// lacks, answers the requests of peers, and enters and settles membership
+/// epochs.
 ///
-/// Costs of control are bounded: a report goes to at most FanOut peers at a
-/// time, the next one to the next, so that a host's messages do not grow with
-/// the fleet. \see budget::RateBudgets, steering::FleetSteering
+/// Control traffic is bounded: a report goes to at most ReportFanOut peers, and
+/// the next report to the peers that follow, so that the messages of a host do
+/// not grow with the fleet. \see budget::RateBudgets, steering::FleetSteering
 class ExchangeNode {
 public:
-  /// Binds the exchange's methods to \p Handlers.
+  /// Binds the RPC methods of the exchange to \p Handlers.
   ExchangeNode(const boost::asio::any_io_executor &Executor,
                fleet::PeerClient &Peers, fleet::RpcDispatcher &Handlers,
                const base::HostId &SelfName, std::uint64_t Incarnation,
-               ExchangeDependencies Parts);
+               ExchangeDependencies Dependencies);
   ExchangeNode(const ExchangeNode &) = delete;
   ExchangeNode &operator=(const ExchangeNode &) = delete;
 
-  /// Names one start of one host: a restarted host holds nothing of what it
-  /// held before.
+  /// \returns an id for one start of a host. A restarted host holds none of the
+  /// shares that it held before.
   static base::HostId incarnationId(const base::HostId &Name,
                                     std::uint64_t Incarnation);
 
   void start();
   void stop() noexcept { Stopped_ = true; }
 
-  /// The fleet's members changed. From any thread.
+  /// Takes a changed directory. May be called from any thread.
   void directoryChanged(const fleet::Directory &Changed, base::TimePoint Now);
 
   std::uint64_t epoch() const { return Epochs_.epoch(); }
@@ -68,47 +69,48 @@
 
   static constexpr base::Duration ReportInterval =
       std::chrono::milliseconds(250);
-  /// A report that says nothing new is repeated this often, for peers that
-  /// missed it. Measured with 12 quiet hosts: 78 kB/s a host at one report each
-  /// 250 ms, new or not.
+  /// A report without significant changes is repeated at this interval for
+  /// peers that missed it. One report each 250 ms, new or not, cost 78 kB/s per
+  /// host with 12 idle hosts.
   static constexpr base::Duration RepeatInterval = std::chrono::seconds(4);
-  static constexpr base::Duration AskInterval = std::chrono::milliseconds(10);
+  static constexpr base::Duration RequestInterval =
+      std::chrono::milliseconds(10);
   static constexpr base::Duration CallTimeout = std::chrono::milliseconds(500);
-  static constexpr std::size_t FanOut = 16;
+  static constexpr std::size_t ReportFanOut = 16;
 
 private:
   using Task = boost::asio::awaitable<void>;
 
-  Task askLoop();
+  Task requestLoop();
   Task reportLoop();
-  Task tell(std::string Address, std::string Report);
-  Task askSlots(std::string Address, steering::SlotRequest Asked);
-  Task askRate(std::string Address, budget::ShareRequest Asked);
+  Task sendReport(std::string Address, std::string Report);
+  Task requestSlots(std::string Address, steering::SlotRequest Request);
+  Task requestRate(std::string Address, budget::ShareRequest Request);
 
   void bind(fleet::RpcDispatcher &Handlers);
-  fleet::RpcOutcome hearReport(const std::string &Text);
-  fleet::RpcOutcome hearSlotAsk(const std::string &Text);
-  fleet::RpcOutcome hearAsk(const std::string &Text);
+  fleet::RpcOutcome handleReport(const std::string &Text);
+  fleet::RpcOutcome handleSlotRequest(const std::string &Text);
+  fleet::RpcOutcome handleRateRequest(const std::string &Text);
 
-  void followEpoch(base::TimePoint Now);
-  HostReport report(base::TimePoint Now) const;
-  std::vector<std::string> nextPeers();
-  std::optional<std::string> addressOf(const base::HostId &Process) const;
-  void spawn(Task Started);
+  void updateEpoch(base::TimePoint Now);
+  HostReport makeReport(base::TimePoint Now) const;
+  std::vector<std::string> nextReportPeers();
+  std::optional<std::string> addressOf(const base::HostId &Incarnation) const;
+  void spawn(Task Spawned);
 
   const boost::asio::any_io_executor Executor_;
   fleet::PeerClient &Peers_;
   const base::HostId Self_;
-  const ExchangeDependencies Parts_;
+  const ExchangeDependencies Dependencies_;
   EpochTracker Epochs_;
   SpareOfferTable Offers_;
-  /// Of the ask loop alone.
+  /// Used by the request loop only.
   base::Random Random_;
   std::atomic<bool> Stopped_ = false;
-  std::atomic<std::uint64_t> Settled_ = 0;
+  std::atomic<std::uint64_t> SettledEpoch_ = 0;
 
   mutable std::mutex Lock_;
-  /// Process id to IP:PORT, without this host.
+  /// Incarnation id to IP:PORT, without this host.
   std::map<base::HostId, std::string> Addresses_;
   std::size_t NextPeer_ = 0;
 };
--- a/libs/exchange/HostReport.cpp
+++ b/libs/exchange/HostReport.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// \returns \p Amount to a quarter of its power of two.
-std::uint64_t coarse(std::int64_t Amount) noexcept {
+/// \returns \p Amount rounded down to a quarter of its power of two.
+std::uint64_t quantize(std::int64_t Amount) noexcept {
   if (Amount <= 0)
     return 0;
   const auto Value = static_cast<std::uint64_t>(Amount);
@@ -22,25 +22,25 @@
 
 } // namespace
 
-std::uint64_t significanceOf(const HostReport &Report) {
-  std::string Text = std::to_string(Report.Entered_);
+std::uint64_t significanceHash(const HostReport &Report) {
+  std::string Text = std::to_string(Report.EnteredEpoch_);
   const auto Add = [&Text](std::string_view Name, std::uint64_t Value) {
     Text += ' ';
     Text += Name;
     Text += std::to_string(Value);
   };
-  for (const steering::PeerLoad &Each : Report.Round_.Loads_)
-    Add(Each.Target_.name(), Each.InFlight_);
-  for (const steering::SpareSlots &Each : Report.Round_.SpareSlots_) {
-    Add(Each.Service_.name(), 0);
-    Add(Each.Region_.name(), Each.Free_);
+  for (const steering::PeerLoad &Entry : Report.LoadUpdate_.Loads_)
+    Add(Entry.Target_.name(), Entry.InFlight_);
+  for (const steering::SpareSlots &Entry : Report.LoadUpdate_.SpareSlots_) {
+    Add(Entry.Service_.name(), 0);
+    Add(Entry.Region_.name(), Entry.Free_);
   }
-  for (const budget::SpareOffer &Each : Report.Offers_) {
-    Add(Each.Budget_, coarse(Each.Rate_));
-    Add("tokens", coarse(Each.Tokens_));
+  for (const budget::SpareOffer &Entry : Report.Offers_) {
+    Add(Entry.Budget_, quantize(Entry.Rate_));
+    Add("tokens", quantize(Entry.Tokens_));
   }
-  for (const retrying::CrashEvidence &Each : Report.Evidence_)
-    Add("evidence", Each.Fingerprint_ ^ Each.Target_);
+  for (const retrying::CrashEvidence &Entry : Report.Evidence_)
+    Add("evidence", Entry.Fingerprint_ ^ Entry.Target_);
   return base::stableHash(Text);
 }
 
--- a/libs/exchange/HostReport.h
+++ b/libs/exchange/HostReport.h
@@ -10,21 +10,22 @@
 
 namespace lychee::exchange {
 
-/// What a host tells its peers of itself, again and again: lost, late or
-/// doubled it does no harm, as the next one says all of it anew.
+/// What a host reports to its peers, periodically. Lost, late or duplicate
+/// reports do no harm, as each one contains the complete state.
 struct HostReport {
-  steering::HostLoadUpdate Round_;
+  steering::HostLoadUpdate LoadUpdate_;
   std::vector<budget::SpareOffer> Offers_;
   std::vector<retrying::CrashEvidence> Evidence_;
-  /// The newest membership epoch that the host stands in with all it uses.
-  std::uint64_t Entered_ = 0;
+  /// The newest membership epoch that the host has entered with everything it
+  /// uses.
+  std::uint64_t EnteredEpoch_ = 0;
 };
 
-/// \returns a hash of what peers would act on. Two reports of the same hash
-/// need not both be sent: a share that grew by a hundredth changes nobody's
-/// choice of whom to ask, while its every change would cost a message to each
-/// peer.
-std::uint64_t significanceOf(const HostReport &Report);
+/// \returns a hash of what peers would act on. Of two reports with the same
+/// hash one may be omitted: a share that grew by a hundredth changes no peer's
+/// choice of a donor, while sending each such change would cost a message to
+/// every peer.
+std::uint64_t significanceHash(const HostReport &Report);
 
 } // namespace lychee::exchange
 
--- a/libs/exchange/SpareOfferTable.cpp
+++ b/libs/exchange/SpareOfferTable.cpp
@@ -11,8 +11,8 @@
   const std::scoped_lock Guard(Lock_);
   for (auto &[Budget, ByPeer] : Offers_)
     ByPeer.erase(Peer);
-  for (const budget::SpareOffer &Each : Offers)
-    Offers_[Each.Budget_][Peer] = {Each, Now};
+  for (const budget::SpareOffer &Offered : Offers)
+    Offers_[Offered.Budget_][Peer] = {Offered, Now};
 }
 
 void SpareOfferTable::setPeers(std::span<const base::HostId> Peers) {
@@ -26,48 +26,49 @@
 }
 
 std::vector<base::HostId>
-SpareOfferTable::takeDonors(const budget::ShareRequest &Asked,
+SpareOfferTable::takeDonors(const budget::ShareRequest &Request,
                             base::TimePoint Now, base::Random &Random) {
   const std::scoped_lock Guard(Lock_);
-  const bool IsShort = Asked.Tokens_ > 0;
-  const std::size_t Most = IsShort ? DonorsAtOnce : 1;
+  const bool NeedsTokens = Request.Tokens_ > 0;
+  const std::size_t MaxCount = NeedsTokens ? MaxDonors : 1;
   std::vector<base::HostId> Donors;
-  while (Donors.size() < Most) {
-    const auto Best = takeBest(Asked, Now);
+  while (Donors.size() < MaxCount) {
+    const auto Best = takeBestOffer(Request, Now);
     if (!Best)
       break;
     Donors.push_back(*Best);
   }
-  for (std::size_t Draw = Donors.size();
-       IsShort && Draw < Most && !Peers_.empty(); ++Draw) {
-    const base::HostId &Drawn = Peers_[base::drawBelow(
+  for (std::size_t Count = Donors.size();
+       NeedsTokens && Count < MaxCount && !Peers_.empty(); ++Count) {
+    const base::HostId &Candidate = Peers_[base::drawBelow(
         Random, static_cast<std::uint32_t>(Peers_.size()))];
-    if (std::find(Donors.begin(), Donors.end(), Drawn) == Donors.end())
-      Donors.push_back(Drawn);
+    if (std::find(Donors.begin(), Donors.end(), Candidate) == Donors.end())
+      Donors.push_back(Candidate);
   }
   return Donors;
 }
 
 std::optional<base::HostId>
-SpareOfferTable::takeBest(const budget::ShareRequest &Asked,
-                          base::TimePoint Now) {
-  const auto Found = Offers_.find(Asked.Budget_);
+SpareOfferTable::takeBestOffer(const budget::ShareRequest &Request,
+                               base::TimePoint Now) {
+  const auto Found = Offers_.find(Request.Budget_);
   if (Found == Offers_.end())
     return std::nullopt;
   std::map<base::HostId, Offer> &ByPeer = Found->second;
   std::erase_if(ByPeer, [&](const auto &Entry) {
-    return Entry.second.HeardAt_ + OfferLife < Now;
+    return Entry.second.ReceivedAt_ + OfferTtl < Now;
   });
-  // What is wanted first: tokens while requests wait for them, else rate. One
-  // that can spare both is worth more than one with more of either.
-  const auto Worth = [&](const auto &Entry) {
+  // Ranks by the part of the request that a peer can cover: tokens first while
+  // requests wait for them, then rate. A peer that covers both ranks above one
+  // that offers more of either than requested.
+  const auto Rank = [&](const auto &Entry) {
     const budget::SpareOffer &Spare = Entry.second.Spare_;
-    return std::tuple(std::min(Spare.Tokens_, Asked.Tokens_),
-                      std::min(Spare.Rate_, Asked.Rate_), Spare.Rate_);
+    return std::tuple(std::min(Spare.Tokens_, Request.Tokens_),
+                      std::min(Spare.Rate_, Request.Rate_), Spare.Rate_);
   };
   const auto Best = std::max_element(ByPeer.begin(), ByPeer.end(),
                                      [&](const auto &Left, const auto &Right) {
-                                       return Worth(Left) < Worth(Right);
+                                       return Rank(Left) < Rank(Right);
                                      });
   if (Best == ByPeer.end())
     return std::nullopt;
--- a/libs/exchange/SpareOfferTable.h
+++ b/libs/exchange/SpareOfferTable.h
@@ -15,49 +15,53 @@
 
 namespace lychee::exchange {
 
-/// What peers said they could spare of each budget, and so whom to ask. An
-/// offer is used once: a host that was asked has given what it could, and a
-/// second ask before its next report would find nothing. Thread-safe, no I/O.
-/// \see budget::ExchangePolicy for how much
+/// The rate and tokens that peers have offered of each budget; selects the
+/// donors for a request. An offer is used once: a host that got a request has
+/// given what it could, and a second request before its next report would find
+/// nothing. Thread-safe, no I/O. \see budget::ExchangePolicy for the amounts
 class SpareOfferTable {
 public:
-  /// A host whose report would say nothing new repeats it every four seconds;
-  /// one that missed two is not heard, and its offer not trusted.
-  static constexpr base::Duration OfferLife = std::chrono::seconds(10);
+  /// Age at which an offer expires. A host whose report has no significant
+  /// changes repeats it every four seconds; once two were missed, the offer is
+  /// not trusted any more.
+  static constexpr base::Duration OfferTtl = std::chrono::seconds(10);
 
   SpareOfferTable() = default;
   SpareOfferTable(const SpareOfferTable &) = delete;
   SpareOfferTable &operator=(const SpareOfferTable &) = delete;
 
-  /// \p Peer's newest report; replaces what it said before.
+  /// Takes the offers of \p Peer's newest report, which replace its earlier
+  /// ones.
   void update(const base::HostId &Peer,
               std::span<const budget::SpareOffer> Offers, base::TimePoint Now);
 
-  /// Sets who may be asked at all.
+  /// Sets the peers that may be selected as donors.
   void setPeers(std::span<const base::HostId> Peers);
 
-  /// \returns whom to ask, best first, and takes their offers out. One donor
-  /// where the rate is to grow; up to DonorsAtOnce where requests wait for
-  /// tokens, drawn among all peers where too few have offered: the host that
-  /// the callers have just left has told of nothing to spare yet.
-  std::vector<base::HostId> takeDonors(const budget::ShareRequest &Asked,
+  /// \returns the donors for a request, best first, and removes their offers.
+  /// One donor if only the rate is to grow; up to MaxDonors if requests wait
+  /// for tokens, filled up with randomly chosen peers where too few have
+  /// offered, because the host that the callers have just left has not offered
+  /// anything yet.
+  std::vector<base::HostId> takeDonors(const budget::ShareRequest &Request,
                                        base::TimePoint Now,
                                        base::Random &Random);
 
-  /// Asked at once while requests wait. Measured with a customer at 80% of its
-  /// rate whose callers move each 10 s: refused 1.10% with one donor among
-  /// those that offered, 0.80%, 0.50% and 0.36% with one, two and three and
-  /// the draw (lychee-bench-shares).
-  static constexpr std::size_t DonorsAtOnce = 3;
+  /// Donors that are contacted at once while requests wait. With a customer at
+  /// 80% of its rate whose callers move to another host every 10 s, 1.10% of
+  /// requests were refused with one donor among those that offered, and 0.80%,
+  /// 0.50% and 0.36% with one, two and three donors including random peers
+  /// (lychee-bench-shares).
+  static constexpr std::size_t MaxDonors = 3;
 
 private:
   struct Offer {
     budget::SpareOffer Spare_;
-    base::TimePoint HeardAt_;
+    base::TimePoint ReceivedAt_;
   };
 
-  std::optional<base::HostId> takeBest(const budget::ShareRequest &Asked,
-                                       base::TimePoint Now);
+  std::optional<base::HostId> takeBestOffer(const budget::ShareRequest &Request,
+                                            base::TimePoint Now);
 
   mutable std::mutex Lock_;
   std::vector<base::HostId> Peers_;
--- a/tests/exchange/EpochTrackerTest.cpp
+++ b/tests/exchange/EpochTrackerTest.cpp
@@ -11,45 +11,45 @@
 
 const base::HostId One("one#1");
 const base::HostId Two("two#1");
-const base::HostId TwoAgain("two#2");
+const base::HostId TwoRestarted("two#2");
 
 } // namespace
 
 TEST_GROUP(EpochTracker) { EpochTracker Tracker_; };
 
-// A host starts while its peers still use shares of the epoch before.
-// Were it to settle at once, since it knows of no older holder, its new
-// allotment would come on top of what they still use.
-TEST(EpochTracker, aFreshHostWaitsForEveryMember) {
+// A host starts while its peers still use shares of the previous epoch. If it
+// settled at once, as it knows of no older holder, its new allotment would add
+// to what they still use.
+TEST(EpochTracker, newHostWaitsForEveryMember) {
   CHECK(Tracker_.enter(5, std::array{One, Two}));
-  Tracker_.entered(One, 5);
+  Tracker_.acknowledge(One, 5);
   CHECK_FALSE(Tracker_.settled());
-  Tracker_.entered(Two, 4);
+  Tracker_.acknowledge(Two, 4);
   CHECK_FALSE(Tracker_.settled());
-  Tracker_.entered(Two, 5);
+  Tracker_.acknowledge(Two, 5);
   CHECK(Tracker_.settled());
 }
 
-TEST(EpochTracker, aHostThatTheDirectoryLeftOutIsNotWaitedFor) {
+TEST(EpochTracker, hostRemovedFromTheDirectoryIsNotWaitedFor) {
   Tracker_.enter(5, std::array{One, Two});
   CHECK(Tracker_.enter(6, std::array{One}));
-  Tracker_.entered(One, 6);
+  Tracker_.acknowledge(One, 6);
   CHECK(Tracker_.settled());
 }
 
-// A host restarts under its name. Its new process holds nothing, and its old
-// one has no lease: neither is waited for, only those that stayed.
-TEST(EpochTracker, aRestartedHostIsAnotherProcess) {
+// A host restarts under the same name. Its new incarnation holds nothing and
+// the old one has no lease, so only the hosts that stayed are waited for.
+TEST(EpochTracker, oldIncarnationOfARestartedHostIsNotWaitedFor) {
   Tracker_.enter(1, std::array{One, Two});
-  Tracker_.entered(One, 1);
-  Tracker_.entered(Two, 1);
-  CHECK(Tracker_.enter(2, std::array{One, TwoAgain}));
+  Tracker_.acknowledge(One, 1);
+  Tracker_.acknowledge(Two, 1);
+  CHECK(Tracker_.enter(2, std::array{One, TwoRestarted}));
   CHECK_FALSE(Tracker_.settled());
-  Tracker_.entered(One, 2);
+  Tracker_.acknowledge(One, 2);
   CHECK(Tracker_.settled());
 }
 
-TEST(EpochTracker, anOlderEpochChangesNothing) {
+TEST(EpochTracker, olderEpochIsIgnored) {
   Tracker_.enter(5, std::array{One});
   CHECK_FALSE(Tracker_.enter(4, std::array{One, Two}));
   CHECK_FALSE(Tracker_.enter(5, std::array{One, Two}));
