--- a/libs/dispatch/ColdTargetRateLimiter.cpp
+++ b/libs/dispatch/ColdTargetRateLimiter.cpp
@@ -2,12 +2,12 @@
 
 namespace lychee::dispatch {
 
-bool ColdTargetRateLimiter::take(double RatePerSecond,
+bool ColdTargetRateLimiter::tryAcquire(double RatePerSecond,
                                  base::TimePoint Now) noexcept {
-  if (Now < Next_)
+  if (Now < NextAllowed_)
     return false;
-  const double Rate = RatePerSecond > 0 ? RatePerSecond : UnstatedRate;
-  Next_ = Now + base::fromSeconds(1 / (Rate * HostPart));
+  const double Rate = RatePerSecond > 0 ? RatePerSecond : DefaultRatePerSecond;
+  NextAllowed_ = Now + base::fromSeconds(1 / (Rate * HostShare));
   return true;
 }
 
--- a/libs/dispatch/ColdTargetRateLimiter.h
+++ b/libs/dispatch/ColdTargetRateLimiter.h
@@ -5,31 +5,32 @@
 
 namespace lychee::dispatch {
 
-/// Requests to one cold target.
+/// Limits the rate of requests to one cold target.
 ///
-/// Load pattern: a target starts, or a zone comes back, and every host sends to
-/// it at once: it crashes. The rate that it stands holds for all hosts
-/// together, so one host alone, picked by hash, sends to it. Two hosts that
-/// disagree on who is picked, for the second or so that a host's end takes to
-/// be noticed, stay together below the bound, since each takes HostPart of it.
+/// Load pattern: a target starts, or an availability zone comes back, and every
+/// host sends to it at once, so that it crashes. The rate that a cold target
+/// withstands applies to all hosts together, so a single host, elected by hash,
+/// sends to it. For about a second after a host fails, until the others notice,
+/// two hosts may both consider themselves elected; HostShare keeps their sum
+/// within the bound.
 class ColdTargetRateLimiter {
 public:
-  /// Two hosts at once then make 1.5 times the rate, which is the bound that
-  /// deployments promise.
-  static constexpr double HostPart = 0.75;
+  /// Share of the rate that one host uses: two hosts at once then send 1.5
+  /// times the rate, which is the bound that deployments guarantee.
+  static constexpr double HostShare = 0.75;
 
-  /// Where the operators state no rate. Failure without it: a target that was
-  /// out once is to be sounded at a rate of 0, which is never, and with the
-  /// last one out every request is refused for good. Deployments that state a
+  /// Rate in requests per second where the operators state none. With a rate of
+  /// 0, an ejected target would never be probed again, and with the last one
+  /// ejected every request would be refused for good. Deployments that state a
   /// rate state 5.
-  static constexpr double UnstatedRate = 5;
+  static constexpr double DefaultRatePerSecond = 5;
 
-  /// \param RatePerSecond  0: the operators state none.
+  /// \param RatePerSecond  as stated by the operators; 0: none is stated.
   /// \returns whether a request may be sent now, and counts it.
-  bool take(double RatePerSecond, base::TimePoint Now) noexcept;
+  bool tryAcquire(double RatePerSecond, base::TimePoint Now) noexcept;
 
 private:
-  base::TimePoint Next_;
+  base::TimePoint NextAllowed_;
 };
 
 } // namespace lychee::dispatch
--- a/libs/dispatch/CustomerRateLimiter.cpp
+++ b/libs/dispatch/CustomerRateLimiter.cpp
@@ -9,221 +9,223 @@
 
 namespace {
 
-/// Where a rate is next to nothing, waits are still told in seconds.
-constexpr double LeastRate = 0.1;
-/// A region's part of the room for bursts is at most so many times its part of
-/// the rate: half of that room is divided evenly, as bursts are chance.
-constexpr double MostBurstPart = 4;
-
-/// Hosts of this one's region that may keep tokens.
+/// Rate assumed for the computation of waits where the actual one is close to
+/// zero, so that waits stay in the range of seconds.
+constexpr double MinRatePerSecond = 0.1;
+/// Half of the burst capacity is divided evenly between regions, since bursts
+/// are random; a region gets at most this multiple of its share of the rate
+/// from it.
+constexpr double MaxBurstShareRatio = 4;
+
+/// \returns the hosts of this one's region that may own tokens.
 std::vector<const members::HostDescriptor *>
-keepersOf(const FleetDemand &Fleet) {
-  std::vector<const members::HostDescriptor *> Found;
-  if (Fleet.Serving_)
-    Found.push_back(&Fleet.Self_);
-  for (const members::HostView &Each : Fleet.Others_)
-    if (Each.Alive_ && Each.Ready_ && !Each.Leaving_ &&
-        Each.Descriptor_.Region_ == Fleet.Self_.Region_)
-      Found.push_back(&Each.Descriptor_);
-  return Found;
+ownerCandidates(const FleetDemand &Fleet) {
+  std::vector<const members::HostDescriptor *> Result;
+  if (Fleet.IsServing_)
+    Result.push_back(&Fleet.Self_);
+  for (const members::HostView &Other : Fleet.OtherHosts_)
+    if (Other.Alive_ && Other.Ready_ && !Other.Leaving_ &&
+        Other.Descriptor_.Region_ == Fleet.Self_.Region_)
+      Result.push_back(&Other.Descriptor_);
+  return Result;
 }
 
 } // namespace
 
-void CustomerRateLimiter::Bucket::fill(double PerSecond, double Most,
+void CustomerRateLimiter::TokenBucket::refill(double PerSecond, double Capacity,
                                        base::TimePoint Now) noexcept {
   Tokens_ =
-      std::min(Tokens_ + base::toSeconds(Now - Filled_) * PerSecond, Most);
-  Filled_ = Now;
+      std::min(Tokens_ + base::toSeconds(Now - RefilledAt_) * PerSecond, Capacity);
+  RefilledAt_ = Now;
 }
 
 std::optional<base::Duration>
-CustomerRateLimiter::Bucket::take(double PerSecond) noexcept {
+CustomerRateLimiter::TokenBucket::take(double PerSecond) noexcept {
   if (Tokens_ >= 1) {
     Tokens_ -= 1;
     return std::nullopt;
   }
-  return base::fromSeconds((1 - Tokens_) / std::max(LeastRate, PerSecond));
+  return base::fromSeconds((1 - Tokens_) / std::max(MinRatePerSecond, PerSecond));
 }
 
 void CustomerRateLimiter::setCustomers(
     std::span<const live::CustomerRule> Customers, base::TimePoint Now) {
-  std::map<base::CustomerId, Share> Next;
-  for (const live::CustomerRule &Each : Customers) {
-    Share Made;
-    Made.Region_.Filled_ = Now;
-    Made.Standby_.Filled_ = Now;
-    Made.Alone_.Filled_ = Now;
-    if (const auto Old = Shares_.find(Each.Id_); Old != Shares_.end())
-      Made = std::move(Old->second);
-    if (Made.Holder_.empty())
-      Made.Region_.fill(Made.regionRate(), Made.Most_, Now);
-    Made.Rate_ = Each.RatePerSecond_;
-    Made.Burst_ = Each.Burst_;
-    Next.emplace(Each.Id_, std::move(Made));
+  std::map<base::CustomerId, CustomerState> Next;
+  for (const live::CustomerRule &Rule : Customers) {
+    CustomerState State;
+    State.RegionBucket_.RefilledAt_ = Now;
+    State.BackupBucket_.RefilledAt_ = Now;
+    State.FallbackBucket_.RefilledAt_ = Now;
+    if (const auto Old = Customers_.find(Rule.Id_); Old != Customers_.end())
+      State = std::move(Old->second);
+    if (State.Owner_.empty())
+      State.RegionBucket_.refill(State.regionRate(), State.MaxRegionTokens_, Now);
+    State.Rate_ = Rule.RatePerSecond_;
+    State.Burst_ = Rule.Burst_;
+    Next.emplace(Rule.Id_, std::move(State));
   }
-  Shares_ = std::move(Next);
+  Customers_ = std::move(Next);
 }
 
-double CustomerRateLimiter::allTokens(const Share &Of) const noexcept {
-  const double InWindow =
-      Of.Rate_ * base::toSeconds(Bounds_.RateWindow_) + Of.Burst_;
-  return Of.Burst_ * UsedPart +
-         UsedSlack * (InWindow * Bounds_.RateOverage_ + Bounds_.RateSlack_);
+double CustomerRateLimiter::totalCapacity(const CustomerState &State) const noexcept {
+  const double AllowedInWindow =
+      State.Rate_ * base::toSeconds(Bounds_.RateWindow_) + State.Burst_;
+  return State.Burst_ * UsedShare +
+         UsedSlackShare * (AllowedInWindow * Bounds_.RateOverage_ + Bounds_.RateSlack_);
 }
 
-std::map<base::CustomerId, CustomerRateLimiter::Told>
-CustomerRateLimiter::sumOf(const FleetDemand &Fleet) {
-  std::map<base::CustomerId, Told> Sums;
-  for (const members::HostView &Other : Fleet.Others_) {
+std::map<base::CustomerId, CustomerRateLimiter::ReportedDemand>
+CustomerRateLimiter::sumDemands(const FleetDemand &Fleet) {
+  std::map<base::CustomerId, ReportedDemand> Sums;
+  for (const members::HostView &Other : Fleet.OtherHosts_) {
     if (!Other.HoldsShare_)
       continue;
-    const bool Near =
+    const bool IsSameRegion =
         Other.Alive_ && Other.Descriptor_.Region_ == Fleet.Self_.Region_;
-    for (const members::CustomerDemand &Each : Other.Demands_) {
-      Told &Sum = Sums[Each.Customer_];
-      Sum.All_ += Each.RequestsPerSecond_;
-      Sum.Region_ += Near ? Each.RequestsPerSecond_ : 0;
+    for (const members::CustomerDemand &Demand : Other.Demands_) {
+      ReportedDemand &Sum = Sums[Demand.Customer_];
+      Sum.Total_ += Demand.RequestsPerSecond_;
+      Sum.Region_ += IsSameRegion ? Demand.RequestsPerSecond_ : 0;
     }
   }
-  for (const members::RegionView &Region : Fleet.Elsewhere_)
+  for (const members::RegionView &Region : Fleet.OtherRegions_)
     if (Region.HoldsShare_)
-      for (const members::CustomerDemand &Each : Region.Demands_)
-        Sums[Each.Customer_].All_ += Each.RequestsPerSecond_;
+      for (const members::CustomerDemand &Demand : Region.Demands_)
+        Sums[Demand.Customer_].Total_ += Demand.RequestsPerSecond_;
   return Sums;
 }
 
-void CustomerRateLimiter::pickHolder(
-    Share &Of, std::uint64_t Matter,
-    std::span<const members::HostDescriptor *const> Keepers,
+void CustomerRateLimiter::selectOwner(
+    CustomerState &State, std::uint64_t Hash,
+    std::span<const members::HostDescriptor *const> Candidates,
     const std::string &Self) {
   const members::HostDescriptor *First = nullptr;
   const members::HostDescriptor *Second = nullptr;
   std::uint64_t Highest = 0;
-  std::uint64_t Next = 0;
-  for (const members::HostDescriptor *Each : Keepers) {
-    const std::uint64_t Place = base::stableHash(Each->Host_.name(), Matter);
-    if (First == nullptr || Place > Highest) {
-      Second = std::exchange(First, Each);
-      Next = std::exchange(Highest, Place);
-    } else if (Second == nullptr || Place > Next) {
-      Second = Each;
-      Next = Place;
+  std::uint64_t SecondHighest = 0;
+  for (const members::HostDescriptor *Candidate : Candidates) {
+    const std::uint64_t Score = base::stableHash(Candidate->Host_.name(), Hash);
+    if (First == nullptr || Score > Highest) {
+      Second = std::exchange(First, Candidate);
+      SecondHighest = std::exchange(Highest, Score);
+    } else if (Second == nullptr || Score > SecondHighest) {
+      Second = Candidate;
+      SecondHighest = Score;
     }
   }
-  const auto AddressOf = [&Self](const members::HostDescriptor *Each) {
-    return Each == nullptr || Each->Address_ == Self ? std::string()
-                                                     : Each->Address_;
+  const auto AddressOf = [&Self](const members::HostDescriptor *Candidate) {
+    return Candidate == nullptr || Candidate->Address_ == Self ? std::string()
+                                                     : Candidate->Address_;
   };
-  Of.Holder_ = AddressOf(First);
-  Of.Second_ = AddressOf(Second);
+  State.Owner_ = AddressOf(First);
+  State.BackupOwner_ = AddressOf(Second);
 }
 
-void CustomerRateLimiter::divideOne(Share &Of, const Told &Others,
+void CustomerRateLimiter::updateShare(CustomerState &State, const ReportedDemand &Others,
                                     const FleetDemand &Fleet,
                                     base::TimePoint Now) const {
   const double Even =
-      1.0 / static_cast<double>(std::max<std::size_t>(1, Fleet.Regions_));
-  const double Least = std::min(Floor, Of.Rate_ * FloorPart);
-  const double OwnNow = Of.Demand_.perSecond(Now);
-  Of.OwnDemand_.set(OwnNow, Now);
-  Of.RegionDemand_.set(OwnNow + Others.Region_, Now);
-  const double Own = Of.OwnDemand_.at(Now - NewsDelay);
-  const double Region = Of.RegionDemand_.at(Now - NewsDelay);
-  const double Sum = Region + Others.All_ - Others.Region_ +
-                     Least * static_cast<double>(Fleet.Regions_);
-  Of.Part_ = Sum > 0 ? (Region + Least) / Sum : Even;
-  Of.OwnPart_ = Sum > 0 ? Own / Sum : 0;
-  if (Now - Start_ < StartTime)
-    Of.Part_ = std::min(Of.Part_, Even * StartPart);
-  Of.Most_ = std::max(
-      1.0, allTokens(Of) *
-               (Of.Part_ + std::min(Even, Of.Part_ * MostBurstPart)) / 2);
+      1.0 / static_cast<double>(std::max<std::size_t>(1, Fleet.RegionCount_));
+  const double MinDemand = std::min(MinRegionDemand, State.Rate_ * MinRegionDemandShare);
+  const double OwnNow = State.Demand_.perSecond(Now);
+  State.HostDemand_.record(OwnNow, Now);
+  State.RegionDemand_.record(OwnNow + Others.Region_, Now);
+  const double Own = State.HostDemand_.valueAt(Now - PropagationDelay);
+  const double Region = State.RegionDemand_.valueAt(Now - PropagationDelay);
+  const double Sum = Region + Others.Total_ - Others.Region_ +
+                     MinDemand * static_cast<double>(Fleet.RegionCount_);
+  State.RegionShare_ = Sum > 0 ? (Region + MinDemand) / Sum : Even;
+  State.HostShare_ = Sum > 0 ? Own / Sum : 0;
+  if (Now - Start_ < StartupTime)
+    State.RegionShare_ = std::min(State.RegionShare_, Even * StartupShare);
+  State.MaxRegionTokens_ = std::max(
+      1.0, totalCapacity(State) *
+               (State.RegionShare_ + std::min(Even, State.RegionShare_ * MaxBurstShareRatio)) / 2);
 }
 
-void CustomerRateLimiter::keepOwnPart(Share &Of, base::TimePoint Now) noexcept {
-  if (!Of.Holder_.empty() || Of.Part_ <= Of.OwnPart_)
+void CustomerRateLimiter::limitToHostShare(CustomerState &State, base::TimePoint Now) noexcept {
+  if (!State.Owner_.empty() || State.RegionShare_ <= State.HostShare_)
     return;
-  Of.Region_.fill(Of.regionRate(), Of.Most_, Now);
-  Of.Most_ = std::max(1.0, Of.Most_ * Of.OwnPart_ / Of.Part_);
-  Of.Part_ = Of.OwnPart_;
+  State.RegionBucket_.refill(State.regionRate(), State.MaxRegionTokens_, Now);
+  State.MaxRegionTokens_ = std::max(1.0, State.MaxRegionTokens_ * State.HostShare_ / State.RegionShare_);
+  State.RegionShare_ = State.HostShare_;
 }
 
-void CustomerRateLimiter::divide(const FleetDemand &Fleet,
+void CustomerRateLimiter::redistribute(const FleetDemand &Fleet,
                                  base::TimePoint Now) {
-  if (Fleet.CutOff_) {
-    for (auto &[Customer, Each] : Shares_)
-      keepOwnPart(Each, Now);
+  if (Fleet.IsCutOff_) {
+    for (auto &[Customer, State] : Customers_)
+      limitToHostShare(State, Now);
     return;
   }
-  const std::map<base::CustomerId, Told> Sums = sumOf(Fleet);
-  const std::vector<const members::HostDescriptor *> Keepers = keepersOf(Fleet);
-  for (auto &[Customer, Each] : Shares_) {
-    if (Each.Holder_.empty())
-      Each.Region_.fill(Each.regionRate(), Each.Most_, Now);
+  const std::map<base::CustomerId, ReportedDemand> Sums = sumDemands(Fleet);
+  const std::vector<const members::HostDescriptor *> Candidates = ownerCandidates(Fleet);
+  for (auto &[Customer, State] : Customers_) {
+    if (State.Owner_.empty())
+      State.RegionBucket_.refill(State.regionRate(), State.MaxRegionTokens_, Now);
     const auto Sum = Sums.find(Customer);
-    divideOne(Each, Sum == Sums.end() ? Told() : Sum->second, Fleet, Now);
-    pickHolder(Each, base::stableHash(Customer.name()), Keepers,
+    updateShare(State, Sum == Sums.end() ? ReportedDemand() : Sum->second, Fleet, Now);
+    selectOwner(State, base::stableHash(Customer.name()), Candidates,
                Fleet.Self_.Address_);
-    // What another host keeps now is no longer this one's to give.
-    if (!Each.Holder_.empty())
-      Each.Region_ = {0, Now};
+    // Tokens that another host owns now are no longer this one's to grant.
+    if (!State.Owner_.empty())
+      State.RegionBucket_ = {0, Now};
   }
 }
 
-RateVerdict CustomerRateLimiter::take(const base::CustomerId &Customer,
+RateLimitDecision CustomerRateLimiter::take(const base::CustomerId &Customer,
                                       base::TimePoint Now) {
-  const auto Found = Shares_.find(Customer);
-  if (Found == Shares_.end())
+  const auto Found = Customers_.find(Customer);
+  if (Found == Customers_.end())
     return {};
-  Share &Of = Found->second;
-  Of.Demand_.add(1, Now);
-  if (Of.Rate_ <= 0)
+  CustomerState &State = Found->second;
+  State.Demand_.add(1, Now);
+  if (State.Rate_ <= 0)
     return {};
-  if (!Of.Holder_.empty())
-    return {RateVerdict::Kind::AskHolder, {}, Of.Holder_, Of.Second_};
-  if (const auto Wait = takeFor(Customer, Now))
-    return {RateVerdict::Kind::Refused, *Wait, {}, {}};
+  if (!State.Owner_.empty())
+    return {RateLimitDecision::Kind::AskOwner, {}, State.Owner_, State.BackupOwner_};
+  if (const auto Wait = takeForPeer(Customer, Now))
+    return {RateLimitDecision::Kind::Denied, *Wait, {}, {}};
   return {};
 }
 
 std::optional<base::Duration>
-CustomerRateLimiter::takeFor(const base::CustomerId &Customer,
+CustomerRateLimiter::takeForPeer(const base::CustomerId &Customer,
                              base::TimePoint Now) {
-  const auto Found = Shares_.find(Customer);
-  if (Found == Shares_.end() || Found->second.Rate_ <= 0)
+  const auto Found = Customers_.find(Customer);
+  if (Found == Customers_.end() || Found->second.Rate_ <= 0)
     return std::nullopt;
-  Share &Of = Found->second;
-  const bool IsKeeper = Of.Holder_.empty();
-  const double PerSecond = Of.regionRate() * (IsKeeper ? 1 : StandbyPart);
-  Bucket &From = IsKeeper ? Of.Region_ : Of.Standby_;
-  From.fill(PerSecond, IsKeeper ? Of.Most_ : MostStandby, Now);
-  return From.take(PerSecond);
+  CustomerState &State = Found->second;
+  const bool IsOwner = State.Owner_.empty();
+  const double PerSecond = State.regionRate() * (IsOwner ? 1 : BackupShare);
+  TokenBucket &Bucket = IsOwner ? State.RegionBucket_ : State.BackupBucket_;
+  Bucket.refill(PerSecond, IsOwner ? State.MaxRegionTokens_ : MaxBackupTokens, Now);
+  return Bucket.take(PerSecond);
 }
 
 std::optional<base::Duration>
-CustomerRateLimiter::takeAlone(const base::CustomerId &Customer,
+CustomerRateLimiter::takeFallback(const base::CustomerId &Customer,
                                base::TimePoint Now) {
-  const auto Found = Shares_.find(Customer);
-  if (Found == Shares_.end())
+  const auto Found = Customers_.find(Customer);
+  if (Found == Customers_.end())
     return std::nullopt;
-  Share &Of = Found->second;
-  if (Now - Of.Alone_.Filled_ > AloneFor)
-    Of.Alone_ = {0, Now};
-  const double PerSecond = Of.Rate_ * Of.OwnPart_ * AlonePart;
-  Of.Alone_.fill(PerSecond, MostAlone, Now);
-  return Of.Alone_.take(PerSecond);
+  CustomerState &State = Found->second;
+  if (Now - State.FallbackBucket_.RefilledAt_ > FallbackResetTime)
+    State.FallbackBucket_ = {0, Now};
+  const double PerSecond = State.Rate_ * State.HostShare_ * FallbackShare;
+  State.FallbackBucket_.refill(PerSecond, MaxFallbackTokens, Now);
+  return State.FallbackBucket_.take(PerSecond);
 }
 
 std::vector<members::CustomerDemand>
 CustomerRateLimiter::demands(base::TimePoint Now) {
-  std::vector<members::CustomerDemand> All;
-  for (auto &[Customer, Each] : Shares_) {
-    const double PerSecond = Each.Demand_.perSecond(Now);
+  std::vector<members::CustomerDemand> Result;
+  for (auto &[Customer, State] : Customers_) {
+    const double PerSecond = State.Demand_.perSecond(Now);
     if (PerSecond >= 0.05)
-      All.push_back({Customer, PerSecond});
+      Result.push_back({Customer, PerSecond});
   }
-  return All;
+  return Result;
 }
 
 } // namespace lychee::dispatch
--- a/libs/dispatch/CustomerRateLimiter.h
+++ b/libs/dispatch/CustomerRateLimiter.h
@@ -3,8 +3,8 @@
 
 #include "base/Id.h"
 #include "base/Time.h"
-#include "dispatch/DelayedAmount.h"
-#include "dispatch/DemandMeter.h"
+#include "dispatch/SampleHistory.h"
+#include "dispatch/DecayingRate.h"
 #include "live/Intent.h"
 #include "members/HostTable.h"
 
@@ -16,106 +16,115 @@
 
 namespace lychee::dispatch {
 
-/// What other hosts tell, as far as the division of rates needs it.
+/// Demand and state of the other hosts, as far as the rate limits need them.
 struct FleetDemand {
-  std::vector<members::HostView> Others_;
-  /// Other regions, of whose hosts no single demands are told.
-  std::vector<members::RegionView> Elsewhere_;
+  std::vector<members::HostView> OtherHosts_;
+  /// Other regions, whose demand is known as one total per region.
+  std::vector<members::RegionView> OtherRegions_;
   members::HostDescriptor Self_;
-  /// This host takes callers' requests, as others do.
-  bool Serving_ = true;
-  /// Hosts that hold a part, this one included.
-  std::size_t Holders_ = 1;
-  /// Regions that the fleet has.
-  std::size_t Regions_ = 1;
-  /// Most others fell silent at once: this host is cut off.
-  bool CutOff_ = false;
+  /// This host accepts callers' requests, as others do.
+  bool IsServing_ = true;
+  /// Hosts that hold a share, including this one.
+  std::size_t HostCount_ = 1;
+  /// Number of regions in the fleet.
+  std::size_t RegionCount_ = 1;
+  /// Most other hosts fell silent at once: this host is cut off.
+  bool IsCutOff_ = false;
 };
 
-/// What becomes of one request by its customer's rate.
-struct RateVerdict {
+/// Decision on one request by its customer's rate limit.
+struct RateLimitDecision {
   enum class Kind {
-    Passed,
-    /// Its customer's rate is used up; Wait_ says until when.
-    Refused,
-    /// The host at Holder_ has the region's tokens and is to be asked.
-    AskHolder,
+    Allowed,
+    /// The customer's rate is used up; RetryAfter_ is the time until there is a
+    /// token.
+    Denied,
+    /// The host at address Owner_ owns the region's tokens and is to be asked.
+    AskOwner,
   };
 
-  Kind Kind_ = Kind::Passed;
-  base::Duration Wait_{};
-  std::string Holder_;
-  /// Who takes the holder's place; empty: nobody else is there.
-  std::string Second_;
+  Kind Kind_ = Kind::Allowed;
+  base::Duration RetryAfter_{};
+  std::string Owner_;
+  /// Address of the host that is asked if the owner does not respond; empty:
+  /// there is none.
+  std::string BackupOwner_;
 };
 
-/// Each customer's rate and burst, divided between regions and, within a
-/// region, kept by one host that the others ask.
+/// Limits each customer to a rate and burst over all hosts. The rate is divided
+/// between regions; within a region, one host owns the tokens, and the other
+/// hosts request them from it.
 ///
-/// Load pattern: many hosts and many customers; a small customer asks each host
-/// once in many seconds. Cut into a part for each host, a rate of 6 a second at
-/// 71 hosts is one request in 12 s at each, and chance refuses a third of a
-/// customer's requests though it stays within its rate; buckets that hold a
-/// whole token each would together give 71 at once. Kept together by region the
-/// tokens are where they are needed.
+/// Load pattern: many hosts and many customers, where a small customer reaches
+/// each host once in many seconds. Divided between 71 hosts, a rate of 6 per
+/// second would be one request in 12 s at each, and chance would refuse a third
+/// of a customer's requests although it stays within its rate; buckets that
+/// hold a whole token each would together grant 71 at once. Pooled by region,
+/// the tokens are where they are needed.
 ///
-/// A region's part is its part of the demand that all hosts tell in heartbeats,
-/// so that the parts add up to one where all heard the same. Who keeps a
-/// customer's tokens in a region is picked by hash among the hosts that are
-/// alive; it costs no word between them. A host that becomes the keeper starts
-/// with none. A silent host's demand counts in the whole but in no region's
-/// part until it can no longer spend anything. \see members::HostTable
+/// A region's share of the rate is its share of the demand that all hosts
+/// announce in heartbeats, so the shares add up to one where all hosts received
+/// the same. The owner of a customer's tokens in a region is elected by hash
+/// among the hosts that are alive, which needs no communication. A host that
+/// becomes the owner starts with no tokens. A silent host's demand counts in
+/// the total but in no region's share, until the host can no longer spend
+/// anything. \see members::HostTable
 ///
-/// Failure: a keeper is cut off. Its region picks another, and it would go on
-/// giving its own callers the whole region's part until its keys are stale, 4.7
-/// s later. Symptom: a customer that sends five times its rate got 464 requests
-/// in 5 s where 449 are allowed. So a host that is cut off keeps only its own
-/// part, which the others leave it.
+/// Failure: an owner is cut off. Its region elects another one, and the old
+/// owner would go on granting the region's whole share to its own callers until
+/// its keys are stale, 4.7 s later. Symptom: a customer that sends five times
+/// its rate got 464 requests in 5 s where 449 are allowed. So a host that is
+/// cut off keeps only its own share, which the others leave to it.
 class CustomerRateLimiter {
 public:
-  /// Part of the rate that is used: what regions tell each other is up to a
-  /// second old, and two may each count a moving caller as theirs; standbys and
-  /// hosts that go alone give some more.
-  static constexpr double UsedPart = 0.94;
-  /// Each region counts for at least so much demand, in requests a second and
-  /// as a part of the rate: a customer's first request there finds room, and a
-  /// quiet second does not take the region's part away.
-  static constexpr double Floor = 0.5;
-  static constexpr double FloorPart = 0.04;
-  /// A region's demand reaches the others so much later: the next news, the way
-  /// and a wait for processors. Each region counts its own demand as late, so
-  /// that all divide by the same: where demand grows everywhere, each would
-  /// else take its own for a larger part until it hears of the others.
-  static constexpr base::Duration NewsDelay = std::chrono::seconds(1);
-  /// A host that has just started has not heard the others yet; until then its
-  /// region takes no more than a part of an even one.
-  static constexpr base::Duration StartTime = std::chrono::seconds(3);
-  /// Part of the even part that it takes: where most hosts restart, regions
-  /// whose keepers lived on hold more than an even part for about a second.
-  /// Usual demand is well below it.
-  static constexpr double StartPart = 0.75;
-
-  /// Part of what is allowed beyond rate and burst that is used for bursts:
-  /// requests come by chance, and a small customer's burst is one or two at
-  /// each region. The rest is for keepers that change while a customer sends
-  /// many times its rate.
-  static constexpr double UsedSlack = 0.6;
-
-  /// A host that is asked in the keeper's place gives so much of the region's
-  /// part, and may save up so many tokens. The keeper waits for its processor
-  /// more often than it is dead, and has then given a token of its own for the
-  /// same request: with the region's whole part for both, a busy customer gets
-  /// more than its rate. The overage that deployments allow is more than this.
-  static constexpr double StandbyPart = 0.08;
-  static constexpr double MostStandby = 2;
-
-  /// A host that finds no keeper takes tokens for its own callers from so much
-  /// of its own part of the demand, which the region's part holds, too. Keys go
-  /// stale 4.7 s after a host is cut off, which bounds what comes of that.
-  static constexpr double AlonePart = 0.5;
-  /// Tokens that it may save up, and how long without a keeper ends that.
-  static constexpr double MostAlone = 2;
-  static constexpr base::Duration AloneFor = std::chrono::seconds(5);
+  /// Share of the rate that is used. Demand announced between regions is up to
+  /// a second old, so two regions may both count a caller that moves; backup
+  /// owners and hosts that reach no owner grant some more.
+  static constexpr double UsedShare = 0.94;
+  /// Minimum demand that each region counts for, in requests per second and as
+  /// a share of the rate, whichever is lower. A customer's first request in a
+  /// region finds a token then, and a quiet second does not take the region's
+  /// share away.
+  static constexpr double MinRegionDemand = 0.5;
+  static constexpr double MinRegionDemandShare = 0.04;
+  /// Time until the other regions know the demand of a region: the interval
+  /// between updates, the transmission, and waits for processors. Each region
+  /// reads its own demand with the same delay, so that all divide by the same
+  /// numbers: where demand grows everywhere, each would otherwise compute too
+  /// large a share for itself until it receives the demand of the others.
+  static constexpr base::Duration PropagationDelay = std::chrono::seconds(1);
+  /// Time after the start in which a host may not have received the demand of
+  /// the others; until then its region takes at most StartupShare of an even
+  /// share.
+  static constexpr base::Duration StartupTime = std::chrono::seconds(3);
+  /// Share of the even share. Where most hosts restart, regions whose owners
+  /// kept running hold more than an even share for about a second. Usual demand
+  /// is well below it.
+  static constexpr double StartupShare = 0.75;
+
+  /// Share of the allowance beyond rate and burst that is used for bursts:
+  /// requests arrive at random, and a small customer's burst is one or two
+  /// requests in each region. The rest covers changes of the owner while a
+  /// customer sends many times its rate.
+  static constexpr double UsedSlackShare = 0.6;
+
+  /// Share of the region's rate that a backup owner grants, and the tokens that
+  /// it may save up. The owner is more often waiting for its processor than
+  /// dead, and has then granted a token of its own for the same request: with
+  /// the region's whole share for both, a busy customer would get more than its
+  /// rate. The overage that deployments allow is larger than this share.
+  static constexpr double BackupShare = 0.08;
+  static constexpr double MaxBackupTokens = 2;
+
+  /// Share of its own part of the demand, which is also part of the region's
+  /// share, from which a host that reaches no owner grants tokens to its own
+  /// callers. Keys go stale 4.7 s after a host is cut off, which bounds the
+  /// excess.
+  static constexpr double FallbackShare = 0.5;
+  /// Tokens that it may save up, and the time without use after which it starts
+  /// again from none.
+  static constexpr double MaxFallbackTokens = 2;
+  static constexpr base::Duration FallbackResetTime = std::chrono::seconds(5);
 
   CustomerRateLimiter(const live::DeploymentBounds &Bounds,
                       base::TimePoint Start)
@@ -124,79 +133,79 @@
   void setCustomers(std::span<const live::CustomerRule> Customers,
                     base::TimePoint Now);
 
-  /// Divides anew. To be called every 250 ms.
-  void divide(const FleetDemand &Fleet, base::TimePoint Now);
+  /// Recomputes all shares. To be called every 250 ms.
+  void redistribute(const FleetDemand &Fleet, base::TimePoint Now);
 
-  /// Counts a request, and takes its token where this host keeps them.
-  RateVerdict take(const base::CustomerId &Customer, base::TimePoint Now);
+  /// Counts a request, and takes its token where this host owns the tokens.
+  RateLimitDecision take(const base::CustomerId &Customer, base::TimePoint Now);
 
   /// Takes a token for a request that another host of the region counted.
-  /// \returns nothing where it may pass; else when a token is there again.
-  std::optional<base::Duration> takeFor(const base::CustomerId &Customer,
+  /// \returns nothing: the token was taken; else the time until there is one.
+  std::optional<base::Duration> takeForPeer(const base::CustomerId &Customer,
                                         base::TimePoint Now);
 
-  /// The same for a request of this host whose keeper does not answer.
-  std::optional<base::Duration> takeAlone(const base::CustomerId &Customer,
+  /// The same for a request of this host whose owners do not respond.
+  std::optional<base::Duration> takeFallback(const base::CustomerId &Customer,
                                           base::TimePoint Now);
 
-  /// \returns what this host tells the others.
+  /// \returns the demand that this host announces to the others.
   std::vector<members::CustomerDemand> demands(base::TimePoint Now);
 
 private:
-  struct Bucket {
-    /// A bucket starts empty: a fleet that restarts must not give each
+  struct TokenBucket {
+    /// A bucket starts empty: a fleet that restarts must not grant each
     /// customer a second burst.
     double Tokens_ = 0;
-    base::TimePoint Filled_;
+    base::TimePoint RefilledAt_;
 
-    void fill(double PerSecond, double Most, base::TimePoint Now) noexcept;
+    void refill(double PerSecond, double Capacity, base::TimePoint Now) noexcept;
     std::optional<base::Duration> take(double PerSecond) noexcept;
   };
 
-  struct Share {
+  struct CustomerState {
     double Rate_ = 0;
     double Burst_ = 0;
-    /// The region's part of the rate, and this host's.
-    double Part_ = 0;
-    double OwnPart_ = 0;
-    /// Most tokens that the region's bucket holds.
-    double Most_ = 1;
-    /// Who keeps the region's tokens; empty: this host.
-    std::string Holder_;
-    std::string Second_;
-    Bucket Region_;
-    Bucket Standby_;
-    Bucket Alone_;
-    DemandMeter Demand_;
+    /// The region's share of the rate, and this host's.
+    double RegionShare_ = 0;
+    double HostShare_ = 0;
+    /// Capacity of the region's bucket, in tokens.
+    double MaxRegionTokens_ = 1;
+    /// Address of the owner of the region's tokens; empty: this host.
+    std::string Owner_;
+    std::string BackupOwner_;
+    TokenBucket RegionBucket_;
+    TokenBucket BackupBucket_;
+    TokenBucket FallbackBucket_;
+    DecayingRate Demand_;
     /// Demand at all hosts of the region, and at this one.
-    DelayedAmount RegionDemand_;
-    DelayedAmount OwnDemand_;
+    SampleHistory RegionDemand_;
+    SampleHistory HostDemand_;
 
-    double regionRate() const noexcept { return Rate_ * Part_ * UsedPart; }
+    double regionRate() const noexcept { return Rate_ * RegionShare_ * UsedShare; }
   };
 
-  /// Demand of one customer by where it was told.
-  struct Told {
+  /// Other hosts' demand of one customer, in this region and in total.
+  struct ReportedDemand {
     double Region_ = 0;
-    double All_ = 0;
+    double Total_ = 0;
   };
 
-  static std::map<base::CustomerId, Told> sumOf(const FleetDemand &Fleet);
+  static std::map<base::CustomerId, ReportedDemand> sumDemands(const FleetDemand &Fleet);
   static void
-  pickHolder(Share &Of, std::uint64_t Matter,
-             std::span<const members::HostDescriptor *const> Keepers,
+  selectOwner(CustomerState &State, std::uint64_t Hash,
+             std::span<const members::HostDescriptor *const> Candidates,
              const std::string &Self);
-  /// Leaves a host that is cut off its own part of what it keeps.
-  static void keepOwnPart(Share &Of, base::TimePoint Now) noexcept;
-  void divideOne(Share &Of, const Told &Others, const FleetDemand &Fleet,
+  /// Reduces the region's share to this host's own, where it is cut off.
+  static void limitToHostShare(CustomerState &State, base::TimePoint Now) noexcept;
+  void updateShare(CustomerState &State, const ReportedDemand &Others, const FleetDemand &Fleet,
                  base::TimePoint Now) const;
 
   /// \returns the tokens that all buckets of a customer may hold together.
-  double allTokens(const Share &Of) const noexcept;
+  double totalCapacity(const CustomerState &State) const noexcept;
 
   const live::DeploymentBounds Bounds_;
   const base::TimePoint Start_;
-  std::map<base::CustomerId, Share> Shares_;
+  std::map<base::CustomerId, CustomerState> Customers_;
 };
 
 } // namespace lychee::dispatch
--- a/libs/dispatch/DispatchSteering.cpp
+++ b/libs/dispatch/DispatchSteering.cpp
@@ -13,38 +13,40 @@
 
 namespace {
 
-/// Where a request would wait, part of the time between its objective and its
-/// deadline by which it must be answered, else it is refused at once: all of it
-/// in a calm, and none of it once MostPressure of the requests would be late.
-/// Load pattern: targets that are full for long. What waits until its deadline
-/// is late, and so is all that waits behind it; in a short burst, though, late
-/// is better than refused.
-constexpr double WaitingPart = 1;
-/// The last fifty requests make up the pressure.
-constexpr double PressureWeight = 0.02;
-constexpr double MostPressure = 0.3;
-/// Silence for so many times the wait, which is an estimate, and the run is no
-/// chance: the work of one request spreads by a sixth around its mean. The run
-/// may be a cold one, whatever was expected; counted as a warm one, sends were
-/// given up while their targets worked on them.
-constexpr double WaitPatience = 2.5;
-constexpr double RunPatience = 1.5;
-constexpr base::Duration LeastPatience = std::chrono::milliseconds(150);
+/// Where a request would wait: share of the time between its objective and its
+/// deadline that it may take; otherwise it is refused at once. The full share
+/// applies while no requests are late, none of it once MaxLateShare of them
+/// would be.
+/// Load pattern: targets that are full for long. A request that waits until its
+/// deadline is late, and so is every request behind it; in a short burst,
+/// though, a late answer is better than a refusal.
+constexpr double MaxWaitShare = 1;
+/// Weight of one request in the share of late ones: about the last fifty count.
+constexpr double LatenessWeight = 0.02;
+constexpr double MaxLateShare = 0.3;
+/// Multiples of the expected wait, which is an estimate, and of the expected
+/// run after which silence is not due to variation: the run time of a request
+/// varies by a sixth around its mean. The run may be a cold one, whatever was
+/// expected; with the time of a warm one, sends were abandoned while their
+/// targets worked on them.
+constexpr double WaitTimeoutFactor = 2.5;
+constexpr double RunTimeoutFactor = 1.5;
+constexpr base::Duration MinResponseTimeout = std::chrono::milliseconds(150);
 
-/// Sends that reach no target cost nothing, but each takes time.
-constexpr std::uint32_t MostMisses = 3;
+/// Sends that reach no target cause no load, but each takes time.
+constexpr std::uint32_t MaxUndeliveredSends = 3;
 /// Callers that come back sooner would find the same queue.
-constexpr base::Duration LeastRetryAfter = std::chrono::milliseconds(100);
+constexpr base::Duration MinRetryAfter = std::chrono::milliseconds(100);
 } // namespace
 
 DispatchSteering::DispatchSteering(const DispatchSettings &Settings,
-                                   DispatchCallbacks Parts, base::TimePoint Now)
-    : Settings_(Settings), Parts_(std::move(Parts)),
+                                   DispatchCallbacks Callbacks, base::TimePoint Now)
+    : Settings_(Settings), Callbacks_(std::move(Callbacks)),
       Chooser_(Settings.Region_, Settings.Zone_), Random_(Settings.Seed_),
-      Rates_(Settings.Bounds_, Now) {}
+      RateLimiter_(Settings.Bounds_, Now) {}
 
 DispatchSteering::ServiceState &
-DispatchSteering::serviceAt(const base::ServiceId &Service) {
+DispatchSteering::serviceState(const base::ServiceId &Service) {
   const auto Found = Services_.find(Service);
   if (Found != Services_.end())
     return Found->second;
@@ -52,7 +54,7 @@
   return Services_
       .emplace(Service,
                ServiceState{{},
-                            SendBudget(Bounds.RetryRatio_, Bounds.RetrySlack_),
+                            SharedRetryBudget(Bounds.RetryRatio_, Bounds.RetrySlack_),
                             RegionSplit(Settings_.Region_),
                             {},
                             {},
@@ -62,37 +64,37 @@
       .first->second;
 }
 
-TargetState *DispatchSteering::find(ServiceState &Service,
+TargetState *DispatchSteering::findTarget(ServiceState &Service,
                                     const base::TargetId &Target) {
   const auto Found =
       std::find_if(Service.Targets_.begin(), Service.Targets_.end(),
-                   [&Target](const TargetState &Each) {
-                     return Each.Record_.Id_ == Target;
+                   [&Target](const TargetState &Candidate) {
+                     return Candidate.Record_.Id_ == Target;
                    });
   return Found == Service.Targets_.end() ? nullptr : &*Found;
 }
 
-WorkTimes &DispatchSteering::workOf(const Flight &Request) {
-  return Works_.try_emplace(Request.Rule_, Request.StatedObjective_)
+ExecutionTimes &DispatchSteering::executionTimesOf(const InFlightRequest &Request) {
+  return ExecutionTimes_.try_emplace(Request.Rule_, Request.LatencyObjective_)
       .first->second;
 }
 
 Decision DispatchSteering::refuse(Refusal Why, base::Duration RetryAfter,
                                   bool MayHaveRun) const {
-  Decision Made;
-  Made.Action_ = Decision::Action::Refuse;
-  Made.Refusal_ = Why;
-  Made.Ran_ = MayHaveRun ? steering::Ran::Maybe : steering::Ran::No;
-  Made.RetryAfter_ = RetryAfter;
-  Made.SettingsVersion_ = Intent_ ? Intent_->Version_ : 0;
-  return Made;
+  Decision Result;
+  Result.Action_ = Decision::Action::Refuse;
+  Result.Refusal_ = Why;
+  Result.Ran_ = MayHaveRun ? steering::Ran::Maybe : steering::Ran::No;
+  Result.RetryAfter_ = RetryAfter;
+  Result.SettingsVersion_ = Intent_ ? Intent_->Version_ : 0;
+  return Result;
 }
 
 Decision DispatchSteering::arrive(const steering::Request &Arrived,
                                   base::TimePoint Now) {
   const std::lock_guard Guard(Lock_);
   const std::uint64_t Ticket = ++LastTicket_;
-  Flight &Request = Flights_[Ticket];
+  InFlightRequest &Request = InFlight_[Ticket];
   Request.Service_ = Arrived.Service_;
   Request.Rule_ = Arrived.Rule_;
   Request.Object_ =
@@ -101,239 +103,244 @@
   Request.BodyBytes_ = Arrived.BodyBytes_;
   Request.Homes_ = Arrived.Homes_;
   Request.Deadline_ = Arrived.Deadline_;
-  Request.Objective_ = Arrived.LatencyObjective_ > base::Duration::zero()
+  Request.ObjectiveAt_ = Arrived.LatencyObjective_ > base::Duration::zero()
                            ? Arrived.ArrivedAt_ + Arrived.LatencyObjective_
                            : Arrived.Deadline_;
-  Request.StatedObjective_ = Arrived.LatencyObjective_;
+  Request.LatencyObjective_ = Arrived.LatencyObjective_;
   Request.Idempotent_ = Arrived.Idempotent_;
-  Request.MaximumSends_ = std::max(1U, Arrived.MaxSends_);
+  Request.MaxSends_ = std::max(1U, Arrived.MaxSends_);
   if (Arrived.Customer_.empty())
     return admit(Ticket, Request, Now);
-  const RateVerdict Verdict = Rates_.take(Arrived.Customer_, Now);
+  const RateLimitDecision Verdict = RateLimiter_.take(Arrived.Customer_, Now);
   switch (Verdict.Kind_) {
-  case RateVerdict::Kind::Refused:
-    return refuseOverRate(Ticket, Verdict.Wait_);
-  case RateVerdict::Kind::AskHolder:
+  case RateLimitDecision::Kind::Denied:
+    return refuseRateLimited(Ticket, Verdict.RetryAfter_);
+  case RateLimitDecision::Kind::AskOwner:
     return awaitToken(Ticket,
-                      {Arrived.Customer_, Verdict.Second_, {}, false, {}},
-                      Verdict.Holder_, Now);
-  case RateVerdict::Kind::Passed:
+                      {Arrived.Customer_, Verdict.BackupOwner_, {}, false, {}},
+                      Verdict.Owner_, Now);
+  case RateLimitDecision::Kind::Allowed:
     break;
   }
   return admit(Ticket, Request, Now);
 }
 
-Decision DispatchSteering::admit(std::uint64_t Ticket, Flight &Request,
+Decision DispatchSteering::admit(std::uint64_t Ticket, InFlightRequest &Request,
                                  base::TimePoint Now) {
-  ServiceState &Service = serviceAt(Request.Service_);
-  Service.Budget_.requested(Hosts_);
+  ServiceState &Service = serviceState(Request.Service_);
+  Service.RetryBudget_.recordRequest(HostCount_);
   const base::TimePoint Suspect =
-      Suspects_.suspectUntil(Request.Fingerprint_, Now);
+      CrashSuspects_.suspectUntil(Request.Fingerprint_, Now);
   if (Suspect > Now) {
-    Flights_.erase(Ticket);
+    InFlight_.erase(Ticket);
     return refuse(Refusal::CrashSuspect, Suspect - Now, false);
   }
   const bool IsBound = Request.Homes_ && Request.Homes_->size() == 1;
   Service.Demands_[IsBound ? Request.Homes_->front() : base::RegionId()].add(
-      workOf(Request).usualSeconds(), Now);
+      executionTimesOf(Request).meanSeconds(), Now);
   return send(Ticket, Request, Now);
 }
 
-std::optional<Choice> DispatchSteering::choose(const Flight &Request,
+std::optional<Choice> DispatchSteering::chooseTarget(const InFlightRequest &Request,
                                                base::TimePoint Now) {
-  ServiceState &Service = serviceAt(Request.Service_);
-  ChoiceQuery Asked;
-  Asked.Object_ = Request.Object_;
-  Asked.BodyBytes_ = Request.BodyBytes_;
-  Asked.Homes_ = Request.Homes_ ? &*Request.Homes_ : nullptr;
-  Asked.Tried_ = Request.Tried_;
-  Asked.Region_ = Service.Split_.regionFor(Request.Object_, Request.BodyBytes_,
-                                           Asked.Homes_);
-  Asked.Work_ = workOf(Request);
-  Asked.Loads_ = &Service.Loads_;
-  const auto MaySound = [&](TargetState &Each) {
-    return Parts_.PickedFor_(Each.Hash_) &&
-           Each.Cold_.take(Service.ColdRate_, Now);
+  ServiceState &Service = serviceState(Request.Service_);
+  ChoiceQuery Query;
+  Query.Object_ = Request.Object_;
+  Query.BodyBytes_ = Request.BodyBytes_;
+  Query.Homes_ = Request.Homes_ ? &*Request.Homes_ : nullptr;
+  Query.TriedTargets_ = Request.TriedTargets_;
+  Query.Region_ = Service.RegionSplit_.regionFor(Request.Object_, Request.BodyBytes_,
+                                           Query.Homes_);
+  Query.ExecutionTimes_ = executionTimesOf(Request);
+  Query.RegionLoads_ = &Service.RegionLoads_;
+  const auto MayProbe = [&](TargetState &Target) {
+    return Callbacks_.IsElectedFor_(Target.Hash_) &&
+           Target.ColdLimiter_.tryAcquire(Service.ColdRatePerSecond_, Now);
   };
-  return Chooser_.choose(Asked, Service.Targets_, MaySound, Now);
+  return Chooser_.choose(Query, Service.Targets_, MayProbe, Now);
 }
 
-base::Duration DispatchSteering::patienceFor(const Flight &Request,
+base::Duration DispatchSteering::responseTimeout(const InFlightRequest &Request,
                                              const Choice &Chosen) {
-  const double Waiting = base::toSeconds(Chosen.Waiting_);
-  const double Expected = base::toSeconds(Chosen.Expected_) - Waiting;
-  const double Cold = workOf(Request).coldSeconds() * Chosen.Target_->Slowness_;
-  return std::max(LeastPatience,
-                  base::fromSeconds(Waiting * WaitPatience +
-                                    std::max(Expected, Cold) * RunPatience));
+  const double Waiting = base::toSeconds(Chosen.ExpectedWait_);
+  const double Expected = base::toSeconds(Chosen.ExpectedResponseTime_) - Waiting;
+  const double Cold = executionTimesOf(Request).coldSeconds() * Chosen.Target_->Slowness_;
+  return std::max(MinResponseTimeout,
+                  base::fromSeconds(Waiting * WaitTimeoutFactor +
+                                    std::max(Expected, Cold) * RunTimeoutFactor));
 }
 
-void DispatchSteering::notePressure(const Flight &Request, const Choice &Chosen,
+void DispatchSteering::recordLateness(const InFlightRequest &Request, const Choice &Chosen,
                                     base::TimePoint Now) {
-  if (Request.Objective_ >= Request.Deadline_)
+  if (Request.ObjectiveAt_ >= Request.Deadline_)
     return;
-  double &Pressure = serviceAt(Request.Service_).Pressure_;
-  const bool Waits = Chosen.Waiting_ > base::Duration::zero();
-  const bool IsLate = Waits && Now + Chosen.Expected_ > Request.Objective_;
-  Pressure += PressureWeight * ((IsLate ? 1 : 0) - Pressure);
+  double &LateShare = serviceState(Request.Service_).LateShare_;
+  const bool Waits = Chosen.ExpectedWait_ > base::Duration::zero();
+  const bool IsLate = Waits && Now + Chosen.ExpectedResponseTime_ > Request.ObjectiveAt_;
+  LateShare += LatenessWeight * ((IsLate ? 1 : 0) - LateShare);
 }
 
-base::TimePoint DispatchSteering::latestFor(const Flight &Request,
+base::TimePoint DispatchSteering::latestAnswerTime(const InFlightRequest &Request,
                                             const Choice &Chosen) {
-  const bool Waits = Chosen.Waiting_ > base::Duration::zero();
-  if (Request.Objective_ >= Request.Deadline_ || !Waits)
+  const bool Waits = Chosen.ExpectedWait_ > base::Duration::zero();
+  if (Request.ObjectiveAt_ >= Request.Deadline_ || !Waits)
     return Request.Deadline_;
-  const double Pressure = serviceAt(Request.Service_).Pressure_;
-  const double Part = WaitingPart * std::max(0.0, 1 - Pressure / MostPressure);
-  const double Longest =
-      base::toSeconds(Request.Deadline_ - Request.Objective_) * Part;
-  return Request.Objective_ + base::fromSeconds(Longest);
+  const double LateShare = serviceState(Request.Service_).LateShare_;
+  const double WaitShare = MaxWaitShare * std::max(0.0, 1 - LateShare / MaxLateShare);
+  const double MaxWaitSeconds =
+      base::toSeconds(Request.Deadline_ - Request.ObjectiveAt_) * WaitShare;
+  return Request.ObjectiveAt_ + base::fromSeconds(MaxWaitSeconds);
 }
 
-bool DispatchSteering::canEnd(const Flight &Request, const Choice &Chosen,
+bool DispatchSteering::canAnswerInTime(const InFlightRequest &Request, const Choice &Chosen,
                               base::TimePoint Now) {
-  return Now + Chosen.Expected_ < latestFor(Request, Chosen);
+  return Now + Chosen.ExpectedResponseTime_ < latestAnswerTime(Request, Chosen);
 }
 
-Decision DispatchSteering::send(std::uint64_t Ticket, Flight &Request,
+Decision DispatchSteering::send(std::uint64_t Ticket, InFlightRequest &Request,
                                 base::TimePoint Now) {
-  const auto Chosen = choose(Request, Now);
+  const auto Chosen = chooseTarget(Request, Now);
   if (!Chosen)
-    return endFailed(Ticket, false, LeastRetryAfter);
-  // What cannot be answered in time is not begun: it would take room from what
-  // can, and its caller learns nothing by waiting.
+    return endRequest(Ticket, false, MinRetryAfter);
+  // A request that cannot be answered in time is not sent: it would take a slot
+  // from one that can, and its caller gains nothing by waiting.
   TargetState &Target = *Chosen->Target_;
   const steering::ChoiceInputs Inputs{static_cast<std::uint32_t>(Chosen->Rank_),
-                                      Chosen->Expected_, Chosen->Load_,
-                                      Target.Load_.age(Now)};
-  notePressure(Request, *Chosen, Now);
-  if (!canEnd(Request, *Chosen, Now)) {
+                                      Chosen->ExpectedResponseTime_, Chosen->Load_,
+                                      Target.Load_.reportAge(Now)};
+  recordLateness(Request, *Chosen, Now);
+  if (!canAnswerInTime(Request, *Chosen, Now)) {
     Decision Refused =
-        endFailed(Ticket, false, std::max(Chosen->Waiting_, LeastRetryAfter));
+        endRequest(Ticket, false, std::max(Chosen->ExpectedWait_, MinRetryAfter));
     Refused.Inputs_ = Inputs;
     return Refused;
   }
-  Decision Made;
-  Made.Inputs_ = Inputs;
-  Target.Load_.sent();
-  Request.KnownWarm_ = Target.Warm_.isWarm(Request.Object_, Now);
-  Request.Waiting_ = Chosen->Waiting_;
+  Decision Result;
+  Result.Inputs_ = Inputs;
+  Target.Load_.recordSend();
+  Request.KnownWarm_ = Target.RecentObjects_.contains(Request.Object_, Now);
+  Request.ExpectedWait_ = Chosen->ExpectedWait_;
   ++Request.Sends_;
-  Request.Tried_.push_back(Target.Record_.Id_);
-  Made.Action_ = Decision::Action::Send;
-  Made.Ticket_ = Ticket;
-  Made.Target_ = Target.Record_.Id_;
-  Made.Address_ = Target.Record_.Address_;
-  Made.ExpectedTarget_ = Target.Record_.Id_.name();
-  Made.Region_ = Target.Region_;
-  Made.Reason_ = Chosen->Reason_;
-  Made.SettingsVersion_ = Intent_ ? Intent_->Version_ : 0;
-  if (Request.Idempotent_ && Request.Sends_ < Request.MaximumSends_)
-    Made.ResponseDeadline_ = Now + patienceFor(Request, *Chosen);
-  return Made;
+  Request.TriedTargets_.push_back(Target.Record_.Id_);
+  Result.Action_ = Decision::Action::Send;
+  Result.Ticket_ = Ticket;
+  Result.Target_ = Target.Record_.Id_;
+  Result.Address_ = Target.Record_.Address_;
+  Result.ExpectedTarget_ = Target.Record_.Id_.name();
+  Result.Region_ = Target.Region_;
+  Result.Reason_ = Chosen->Reason_;
+  Result.SettingsVersion_ = Intent_ ? Intent_->Version_ : 0;
+  if (Request.Idempotent_ && Request.Sends_ < Request.MaxSends_)
+    Result.ResponseDeadline_ = Now + responseTimeout(Request, *Chosen);
+  return Result;
 }
 
 bool DispatchSteering::mayAbandonSend(std::uint64_t Ticket,
                                       base::TimePoint Now) {
   const std::lock_guard Guard(Lock_);
-  const auto Found = Flights_.find(Ticket);
-  if (Found == Flights_.end())
+  const auto Found = InFlight_.find(Ticket);
+  if (Found == InFlight_.end())
     return false;
-  Flight &Request = Found->second;
-  const auto Other = choose(Request, Now);
-  if (!Other || Now + Other->Expected_ >= Request.Deadline_)
+  InFlightRequest &Request = Found->second;
+  const auto Other = chooseTarget(Request, Now);
+  if (!Other || Now + Other->ExpectedResponseTime_ >= Request.Deadline_)
     return false;
-  Request.Reserved_ = serviceAt(Request.Service_).Budget_.spend();
-  return Request.Reserved_;
+  Request.RetryReserved_ = serviceState(Request.Service_).RetryBudget_.trySpend();
+  return Request.RetryReserved_;
 }
 
-/// Failure without it: the target said that it leaves while the first send was
-/// at work there, and the second reached it after all work was to have ended;
-/// and second sends on dead connections were in nobody's budget.
+/// Checks that the target still accepts work, and takes a token of the retry
+/// budget. Failure without the check: a target announced that it leaves while
+/// the first send was running there, and the second one reached it after all
+/// work had to be finished. Failure without the token: second sends on dead
+/// connections were in no budget.
 bool DispatchSteering::mayHedge(std::uint64_t Ticket, base::TimePoint /*Now*/) {
   const std::lock_guard Guard(Lock_);
-  const auto Found = Flights_.find(Ticket);
-  if (Found == Flights_.end() || Found->second.Tried_.empty())
+  const auto Found = InFlight_.find(Ticket);
+  if (Found == InFlight_.end() || Found->second.TriedTargets_.empty())
     return false;
-  ServiceState &Service = serviceAt(Found->second.Service_);
-  const TargetState *Target = find(Service, Found->second.Tried_.back());
+  ServiceState &Service = serviceState(Found->second.Service_);
+  const TargetState *Target = findTarget(Service, Found->second.TriedTargets_.back());
   return Target != nullptr && !Target->Record_.Leaving_ &&
-         !Target->Evacuated_ && !Target->AddressTaken_ &&
-         Service.Budget_.spend();
+         !Target->Evacuated_ && !Target->AddressReused_ &&
+         Service.RetryBudget_.trySpend();
 }
 
-/// Ends a request that no target answered. What may have run is never refused
-/// by an answer that promises the opposite.
-Decision DispatchSteering::endFailed(std::uint64_t Ticket, bool ByTarget,
+/// Ends a request that is not sent again, and returns its refusal. A request
+/// that may have run is never refused with an answer that states that it did
+/// not.
+Decision DispatchSteering::endRequest(std::uint64_t Ticket, bool ByTarget,
                                      base::Duration RetryAfter) {
-  const auto Found = Flights_.find(Ticket);
+  const auto Found = InFlight_.find(Ticket);
   const bool MayHaveRun = Found->second.MayHaveRun_;
-  if (Found->second.Reserved_)
-    serviceAt(Found->second.Service_).Budget_.refund();
-  Flights_.erase(Found);
+  if (Found->second.RetryReserved_)
+    serviceState(Found->second.Service_).RetryBudget_.refund();
+  InFlight_.erase(Found);
   if (MayHaveRun || ByTarget)
     return refuse(MayHaveRun ? Refusal::TargetFailed : Refusal::NoHealthyTarget,
                   MayHaveRun ? base::Duration::zero() : RetryAfter, MayHaveRun);
   return refuse(Refusal::NoHeadroom, RetryAfter, false);
 }
 
-bool DispatchSteering::mayResend(const Flight &Request,
+bool DispatchSteering::mayRetry(const InFlightRequest &Request,
                                  const SendReport &Report) {
   const bool OwnFailure = Report.Outcome_ == SendOutcome::Answered &&
-                          Report.Status_ >= FirstServerFailure;
+                          Report.Status_ >= MinServerError;
   if (OwnFailure)
-    return Request.Idempotent_ && Request.Sends_ < Request.MaximumSends_;
+    return Request.Idempotent_ && Request.Sends_ < Request.MaxSends_;
   const retrying::RetryVerdict Verdict = retrying::evaluateRetry(
       {Report.Outcome_, Request.Idempotent_, Report.AnswerStarted_});
-  return Verdict.mayRetry() && Request.Sends_ < Request.MaximumSends_;
+  return Verdict.mayRetry() && Request.Sends_ < Request.MaxSends_;
 }
 
 Decision DispatchSteering::finish(std::uint64_t Ticket,
                                   const SendReport &Report, base::TimePoint Now,
                                   std::vector<steering::Wakeup> & /*Woken*/) {
   const std::lock_guard Guard(Lock_);
-  const auto Found = Flights_.find(Ticket);
-  if (Found == Flights_.end())
+  const auto Found = InFlight_.find(Ticket);
+  if (Found == InFlight_.end())
     return {};
-  Flight &Request = Found->second;
-  ServiceState &Service = serviceAt(Request.Service_);
+  InFlightRequest &Request = Found->second;
+  ServiceState &Service = serviceState(Request.Service_);
   TargetState *Target =
-      Request.Tried_.empty() ? nullptr : find(Service, Request.Tried_.back());
-  learn(Request, Target, Report, Now);
+      Request.TriedTargets_.empty() ? nullptr : findTarget(Service, Request.TriedTargets_.back());
+  recordOutcome(Request, Target, Report, Now);
   const bool Reached = Report.Outcome_ != SendOutcome::ConnectFailed &&
                        Report.Outcome_ != SendOutcome::ClosedBeforeWrite;
   if (!Reached) {
     --Request.Sends_;
-    ++Request.Misses_;
+    ++Request.UndeliveredSends_;
   }
-  // The target closed a kept connection just then; a new one will do.
+  // The target closed a kept-alive connection at that moment; a new one to the
+  // same target will do.
   if (Report.Outcome_ == SendOutcome::ClosedBeforeWrite &&
-      !Request.Tried_.empty())
-    Request.Tried_.pop_back();
+      !Request.TriedTargets_.empty())
+    Request.TriedTargets_.pop_back();
   const retrying::Ran Ran =
       retrying::evaluateRetry(
           {Report.Outcome_, Request.Idempotent_, Report.AnswerStarted_})
           .Ran_;
   Request.MayHaveRun_ = Request.MayHaveRun_ || Ran != retrying::Ran::No;
-  bool Again = mayResend(Request, Report) && Request.Misses_ <= MostMisses;
-  // A first send that reached nobody is no second arrival anywhere.
-  if (Again && Reached && !Request.Reserved_)
-    Again = Service.Budget_.spend();
-  else if (Again && Reached)
-    Request.Reserved_ = false;
-  if (Again)
+  bool Retries = mayRetry(Request, Report) && Request.UndeliveredSends_ <= MaxUndeliveredSends;
+  // A send that reached no target causes no second arrival, so its retry takes
+  // no token.
+  if (Retries && Reached && !Request.RetryReserved_)
+    Retries = Service.RetryBudget_.trySpend();
+  else if (Retries && Reached)
+    Request.RetryReserved_ = false;
+  if (Retries)
     return send(Ticket, Request, Now);
-  const bool Over = Report.Outcome_ == SendOutcome::Answered ||
+  const bool Ended = Report.Outcome_ == SendOutcome::Answered ||
                     Report.Outcome_ == SendOutcome::Cancelled ||
                     Report.Outcome_ == SendOutcome::CancelledBeforeWrite;
-  Decision Made =
-      endFailed(Ticket, Report.Outcome_ != SendOutcome::Shed, LeastRetryAfter);
-  return Over ? Decision() : Made;
+  Decision Result =
+      endRequest(Ticket, Report.Outcome_ != SendOutcome::Shed, MinRetryAfter);
+  return Ended ? Decision() : Result;
 }
 
 void DispatchSteering::cancel(std::uint64_t Ticket, base::TimePoint /*Now*/) {
   const std::lock_guard Guard(Lock_);
-  Flights_.erase(Ticket);
+  InFlight_.erase(Ticket);
   TokenWaits_.erase(Ticket);
 }
 
--- a/libs/dispatch/DispatchSteering.h
+++ b/libs/dispatch/DispatchSteering.h
@@ -3,9 +3,9 @@
 
 #include "base/Random.h"
 #include "dispatch/CustomerRateLimiter.h"
-#include "dispatch/DemandMeter.h"
+#include "dispatch/DecayingRate.h"
 #include "dispatch/RegionSplit.h"
-#include "dispatch/SendBudget.h"
+#include "dispatch/SharedRetryBudget.h"
 #include "dispatch/TargetChooser.h"
 #include "live/Intent.h"
 #include "live/TargetRegistry.h"
@@ -20,7 +20,7 @@
 
 namespace lychee::dispatch {
 
-/// What a dispatch is made from.
+/// Configuration of a DispatchSteering.
 struct DispatchSettings {
   base::RegionId Region_;
   base::ZoneId Zone_;
@@ -28,69 +28,78 @@
   std::uint64_t Seed_ = 0;
 };
 
-/// What a dispatch asks of the rest of the host. Called under its lock.
+/// Functions of the host that a DispatchSteering calls, with its lock held.
 struct DispatchCallbacks {
-  /// \returns whether this host is the one for a matter, of all that are
+  /// \returns whether this host is elected for \p Hash, of all hosts that are
   /// alive. \see members::HostTable::isElectedFor
-  std::function<bool(std::uint64_t Matter)> PickedFor_;
-  /// Asks the host at \p Holder for a token; handleTokenResponse() is called
-  /// with its answer. \see CustomerRateLimiter
-  std::function<void(const std::string &Holder, std::uint64_t Ticket,
+  std::function<bool(std::uint64_t Hash)> IsElectedFor_;
+  /// Requests a token from the host at \p Owner; handleTokenResponse() is
+  /// called with its response. \see CustomerRateLimiter
+  std::function<void(const std::string &Owner, std::uint64_t Ticket,
                      const base::CustomerId &Customer)>
-      AskToken_ = [](const auto &, auto, const auto &) {};
+      RequestToken_ = [](const auto &, auto, const auto &) {};
 };
 
-/// A request's way through the decisions where targets register themselves:
-/// customer's rate, crash suspects, target, and after a failed send whether it
-/// is sent again. Nothing waits here but, for some milliseconds, for the word
-/// of the host that keeps the customer's tokens: targets queue a few requests,
-/// and what no target can do in time is refused at once.
+/// Steers requests where targets register themselves: checks the customer's
+/// rate limit and the crash suspects, chooses the target and, after a failed
+/// send, decides whether the request is sent again.
 ///
-/// Thread-safe: one lock, held for microseconds. DispatchUpkeep.cpp holds what
-/// is told between requests, DispatchTokens.cpp how a request waits for a
-/// token, DispatchLearning.cpp what the end of a send teaches.
-/// \see steering::FleetSteering, which steers by the operators' own tree
+/// Requests are not queued here: targets queue a few, and what no target can
+/// answer in time is refused at once. A request only waits, for some
+/// milliseconds, for the response of the host that owns the customer's tokens.
+///
+/// Thread-safe: one lock, held for microseconds. DispatchUpdates.cpp holds what
+/// happens between requests (configuration, targets, other hosts),
+/// DispatchTokens.cpp how a request waits for a token, DispatchLearning.cpp
+/// what is learned from the outcome of a send.
+/// \see steering::FleetSteering, which steers by the tree that operators
+/// configure
 class DispatchSteering final : public steering::Steering {
 public:
-  /// Within a region a datagram and its answer take 1 to 2 ms, where neither
-  /// host waits for its processor; then the next host in line is asked.
-  static constexpr base::Duration TokenPatience = std::chrono::milliseconds(60);
+  /// Time to wait for one owner's response, after which the backup owner is
+  /// asked. Within a region a datagram and its response take 1 to 2 ms where
+  /// neither host waits for its processor.
+  static constexpr base::Duration TokenTimeout = std::chrono::milliseconds(60);
 
-  DispatchSteering(const DispatchSettings &Settings, DispatchCallbacks Parts,
+  DispatchSteering(const DispatchSettings &Settings, DispatchCallbacks Callbacks,
                    base::TimePoint Now);
 
-  // What is in force.
-  void setIntent(std::shared_ptr<const live::Intent> Fresh,
+  // Configuration and state of the deployment.
+  void setIntent(std::shared_ptr<const live::Intent> NewIntent,
                  base::TimePoint Now);
-  /// \param Regions  the region of each zone.
-  void setTargets(std::span<const live::KnownTarget> All,
+  /// \param Regions  the region of each availability zone.
+  void setTargets(std::span<const live::KnownTarget> Targets,
                   const std::map<base::ZoneId, base::RegionId> &Regions,
                   base::TimePoint Now);
-  /// Zones whose targets get nothing.
+  /// \param Zones  availability zones whose targets get no requests.
   void setEvacuated(const std::set<base::ZoneId> &Zones, base::TimePoint Now);
-  /// Divides what all hosts share anew. To be called every 250 ms.
+  /// Recomputes the shares of the customers' rates and the split between
+  /// regions from the demand of all hosts. To be called every 250 ms.
   void updateFleetDemand(const FleetDemand &Fleet, base::TimePoint Now);
 
-  // What is told to other hosts.
+  // State that is exchanged with other hosts.
   std::vector<members::CustomerDemand> customerDemands(base::TimePoint Now);
   std::vector<members::ServiceDemand> serviceDemands(base::TimePoint Now);
-  /// What was learned of how long rules' requests run.
+  /// \returns the execution times that were learned, by rule.
   std::vector<members::RuleExecutionTimes> executionTimes() const;
-  void mergeExecutionTimes(std::span<const members::RuleExecutionTimes> Told);
+  void mergeExecutionTimes(std::span<const members::RuleExecutionTimes> Announced);
   std::vector<retrying::CrashEvidence>
   crashEvidence(base::TimePoint Now) const {
-    return Suspects_.evidence(Now);
+    return CrashSuspects_.evidence(Now);
   }
-  void mergeCrashEvidence(std::span<const retrying::CrashEvidence> Told,
+  void mergeCrashEvidence(std::span<const retrying::CrashEvidence> Announced,
                           base::TimePoint Now) {
-    Suspects_.merge(Told, Now);
+    CrashSuspects_.merge(Announced, Now);
   }
 
-  // Tokens of customers' rates.
-  /// \returns when a token is there for another host; nothing: it took one.
+  // Tokens of the customers' rate limits.
+  /// Takes a token for a request of another host.
+  /// \returns nothing: a token was taken; else the time until there is one.
   std::optional<base::Duration> grantToken(const base::CustomerId &Customer,
                                            base::TimePoint Now);
-  /// The answer on a request that waits. \p Woken gains its decision.
+  /// Handles an owner's response for a request that waits.
+  /// \param Wait  time until there is a token; nothing: it was granted.
+  /// \param Woken  gains the decision on the request.
   void handleTokenResponse(std::uint64_t Ticket,
                            std::optional<base::Duration> Wait,
                            base::TimePoint Now,
@@ -109,11 +118,11 @@
   void tick(base::TimePoint Now, std::vector<steering::Wakeup> &Woken) override;
 
 private:
-  /// Statuses from here on are failures of the target itself.
-  static constexpr int FirstServerFailure = 500;
+  /// Lowest status of an answer that is a failure of the target itself.
+  static constexpr int MinServerError = 500;
 
   /// A request from its arrival to its end.
-  struct Flight {
+  struct InFlightRequest {
     base::ServiceId Service_;
     std::string Rule_;
     std::uint64_t Object_ = 0;
@@ -121,118 +130,121 @@
     std::uint64_t BodyBytes_ = 0;
     std::optional<std::vector<base::RegionId>> Homes_;
     base::TimePoint Deadline_;
-    /// Until when an answer is worth most; the deadline where none is stated.
-    base::TimePoint Objective_;
-    /// The same as the rule states it; zero: it states none.
-    base::Duration StatedObjective_{};
+    /// Until when an answer is worth most; the deadline where no objective is
+    /// stated.
+    base::TimePoint ObjectiveAt_;
+    /// The rule's objective, counted from arrival; zero: none is stated.
+    base::Duration LatencyObjective_{};
     bool Idempotent_ = false;
-    std::uint32_t MaximumSends_ = 1;
+    std::uint32_t MaxSends_ = 1;
     std::uint32_t Sends_ = 0;
-    /// Sends that did not reach a target; bounded, though they cost nothing.
-    std::uint32_t Misses_ = 0;
-    std::vector<base::TargetId> Tried_;
-    /// A token of the send budget was spent ahead, for the send that follows
-    /// one that was given up.
-    bool Reserved_ = false;
+    /// Sends that did not reach a target. They do not count as sends, but each
+    /// takes time, so they are bounded as well.
+    std::uint32_t UndeliveredSends_ = 0;
+    std::vector<base::TargetId> TriedTargets_;
+    /// A token of the retry budget was spent ahead, for the send that follows
+    /// an abandoned one.
+    bool RetryReserved_ = false;
     bool MayHaveRun_ = false;
-    /// Of the last send: the target handled the object lately, and how long it
-    /// was to wait there.
+    /// Of the last send: whether the target had handled the object recently,
+    /// and the expected wait for a slot.
     bool KnownWarm_ = false;
-    base::Duration Waiting_{};
+    base::Duration ExpectedWait_{};
   };
 
   struct ServiceState {
     std::vector<TargetState> Targets_;
-    SendBudget Budget_;
-    RegionSplit Split_;
-    RegionLoads Loads_;
-    /// Slots that this host's callers keep busy, by the region that they are
-    /// bound to; empty: by those that are free.
-    std::map<base::RegionId, DemandMeter> Demands_;
-    /// Part of the requests, lately, that would not be answered by their
-    /// objective since they would wait.
-    double Pressure_ = 0;
-    double ColdRate_ = 0;
+    SharedRetryBudget RetryBudget_;
+    RegionSplit RegionSplit_;
+    RegionLoads RegionLoads_;
+    /// Slots that requests of this host's callers keep busy, by the region that
+    /// they are bound to; empty: they may run in any.
+    std::map<base::RegionId, DecayingRate> Demands_;
+    /// Share of recent requests that would miss their objective because they
+    /// wait for a slot.
+    double LateShare_ = 0;
+    double ColdRatePerSecond_ = 0;
     base::Duration ColdTime_{};
   };
 
   /// A request that waits for a token.
   struct TokenWait {
     base::CustomerId Customer_;
-    /// Who is asked next; empty: nobody.
-    std::string Next_;
-    base::TimePoint Until_;
-    /// Two are asked, and the answer of one is missing.
-    bool AsksBoth_ = false;
-    /// One of them has no token until then.
-    std::optional<base::Duration> Denied_;
+    /// Address of the host to ask next; empty: none.
+    std::string BackupOwner_;
+    base::TimePoint TimeoutAt_;
+    /// Both owners are asked, and neither has denied a token.
+    bool AwaitsBoth_ = false;
+    /// Time until there is a token, from the owner that denied one.
+    std::optional<base::Duration> DeniedWait_;
   };
 
-  /// A target that was lost with requests in flight, until it is known whether
-  /// it is down.
-  struct Loss {
+  /// A request whose answer was lost, kept until it is known whether its target
+  /// went down.
+  struct LostRequest {
     std::uint64_t Fingerprint_ = 0;
     base::TargetId Target_;
-    base::TimePoint At_;
+    base::TimePoint Time_;
   };
 
-  ServiceState &serviceAt(const base::ServiceId &Service);
-  TargetState *find(ServiceState &Service, const base::TargetId &Target);
-  WorkTimes &workOf(const Flight &Request);
-  std::optional<Choice> choose(const Flight &Request, base::TimePoint Now);
-  /// Decides on a request whose customer's rate allows it.
-  steering::Decision admit(std::uint64_t Ticket, Flight &Request,
+  ServiceState &serviceState(const base::ServiceId &Service);
+  TargetState *findTarget(ServiceState &Service, const base::TargetId &Target);
+  ExecutionTimes &executionTimesOf(const InFlightRequest &Request);
+  std::optional<Choice> chooseTarget(const InFlightRequest &Request, base::TimePoint Now);
+  /// Decides on a request that passed its customer's rate limit.
+  steering::Decision admit(std::uint64_t Ticket, InFlightRequest &Request,
                            base::TimePoint Now);
-  steering::Decision awaitToken(std::uint64_t Ticket, TokenWait Wanted,
-                                const std::string &Holder, base::TimePoint Now);
-  /// \param Wait  as CustomerRateLimiter said; nothing: there is a token.
+  steering::Decision awaitToken(std::uint64_t Ticket, TokenWait Pending,
+                                const std::string &Owner, base::TimePoint Now);
+  /// \param Wait  time until there is a token; nothing: there is one.
   steering::Decision endTokenWait(std::uint64_t Ticket,
                                   std::optional<base::Duration> Wait,
                                   base::TimePoint Now);
-  steering::Decision refuseOverRate(std::uint64_t Ticket, base::Duration Wait);
-  steering::Decision send(std::uint64_t Ticket, Flight &Request,
+  steering::Decision refuseRateLimited(std::uint64_t Ticket, base::Duration Wait);
+  steering::Decision send(std::uint64_t Ticket, InFlightRequest &Request,
                           base::TimePoint Now);
   steering::Decision refuse(steering::Refusal Why, base::Duration RetryAfter,
                             bool MayHaveRun) const;
-  steering::Decision endFailed(std::uint64_t Ticket, bool ByTarget,
+  steering::Decision endRequest(std::uint64_t Ticket, bool ByTarget,
                                base::Duration RetryAfter);
-  void learn(const Flight &Request, TargetState *Target,
+  void recordOutcome(const InFlightRequest &Request, TargetState *Target,
              const steering::SendReport &Report, base::TimePoint Now);
-  void learnTime(const Flight &Request, TargetState &Target,
+  void recordExecutionTime(const InFlightRequest &Request, TargetState &Target,
                  const steering::SendReport &Report);
-  base::Duration patienceFor(const Flight &Request, const Choice &Chosen);
-  /// Counts how many requests would be late since they wait.
-  void notePressure(const Flight &Request, const Choice &Chosen,
+  base::Duration responseTimeout(const InFlightRequest &Request, const Choice &Chosen);
+  /// Updates the share of requests that would be late because they wait.
+  void recordLateness(const InFlightRequest &Request, const Choice &Chosen,
                     base::TimePoint Now);
-  /// \returns by when a request must be answered, else it is refused at once.
-  base::TimePoint latestFor(const Flight &Request, const Choice &Chosen);
-  bool canEnd(const Flight &Request, const Choice &Chosen, base::TimePoint Now);
-  bool mayResend(const Flight &Request, const steering::SendReport &Report);
-  /// Adds what callers of each region ask of a service.
-  void countDemands(const base::ServiceId &Id, ServiceState &Service,
+  /// \returns the time by which a request must be answered, else it is refused
+  /// at once.
+  base::TimePoint latestAnswerTime(const InFlightRequest &Request, const Choice &Chosen);
+  bool canAnswerInTime(const InFlightRequest &Request, const Choice &Chosen, base::TimePoint Now);
+  bool mayRetry(const InFlightRequest &Request, const steering::SendReport &Report);
+  /// Adds the demand for a service of each region's callers.
+  void addDemands(const base::ServiceId &Id, ServiceState &Service,
                     const FleetDemand &Fleet, base::TimePoint Now,
-                    std::map<base::RegionId, RegionLoad> &Into);
-  void divideRegions(const FleetDemand &Fleet, base::TimePoint Now);
-  void noteLoss(const Flight &Request, const base::TargetId &Target,
+                    std::map<base::RegionId, RegionLoad> &Result);
+  void updateRegionSplits(const FleetDemand &Fleet, base::TimePoint Now);
+  void recordLoss(const InFlightRequest &Request, const base::TargetId &Target,
                 base::TimePoint Now);
-  void noteDown(const base::TargetId &Target, base::TimePoint Now);
+  void recordTargetDown(const base::TargetId &Target, base::TimePoint Now);
 
   const DispatchSettings Settings_;
-  const DispatchCallbacks Parts_;
+  const DispatchCallbacks Callbacks_;
   const TargetChooser Chooser_;
   mutable std::mutex Lock_;
   base::Random Random_;
   std::shared_ptr<const live::Intent> Intent_;
   std::map<base::ServiceId, ServiceState> Services_;
-  std::set<base::ZoneId> Evacuated_;
-  std::map<std::string, WorkTimes> Works_;
-  std::unordered_map<std::uint64_t, Flight> Flights_;
+  std::set<base::ZoneId> EvacuatedZones_;
+  std::map<std::string, ExecutionTimes> ExecutionTimes_;
+  std::unordered_map<std::uint64_t, InFlightRequest> InFlight_;
   std::map<std::uint64_t, TokenWait> TokenWaits_;
   std::uint64_t LastTicket_ = 0;
-  CustomerRateLimiter Rates_;
-  std::size_t Hosts_ = 1;
-  retrying::CrashSuspects Suspects_;
-  std::vector<Loss> Losses_;
+  CustomerRateLimiter RateLimiter_;
+  std::size_t HostCount_ = 1;
+  retrying::CrashSuspects CrashSuspects_;
+  std::vector<LostRequest> LostRequests_;
 };
 
 } // namespace lychee::dispatch
--- a/libs/dispatch/DispatchTokens.cpp
+++ b/libs/dispatch/DispatchTokens.cpp
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <utility>
 
-/// How a request waits for a token of its customer's rate that another host
-/// keeps.
+/// Requests that wait for a token of their customer's rate which another host
+/// owns.
 namespace lychee::dispatch {
 
 using steering::Decision;
@@ -13,40 +13,40 @@
 namespace {
 
 /// Callers that come back sooner would find the same bucket.
-constexpr base::Duration LeastRateWait = std::chrono::milliseconds(100);
+constexpr base::Duration MinRateRetryAfter = std::chrono::milliseconds(100);
 
 } // namespace
 
-Decision DispatchSteering::refuseOverRate(std::uint64_t Ticket,
+Decision DispatchSteering::refuseRateLimited(std::uint64_t Ticket,
                                           base::Duration Wait) {
-  Flights_.erase(Ticket);
-  return refuse(Refusal::RateLimited, std::max(Wait, LeastRateWait), false);
+  InFlight_.erase(Ticket);
+  return refuse(Refusal::RateLimited, std::max(Wait, MinRateRetryAfter), false);
 }
 
-Decision DispatchSteering::awaitToken(std::uint64_t Ticket, TokenWait Wanted,
-                                      const std::string &Holder,
+Decision DispatchSteering::awaitToken(std::uint64_t Ticket, TokenWait Pending,
+                                      const std::string &Owner,
                                       base::TimePoint Now) {
-  Parts_.AskToken_(Holder, Ticket, Wanted.Customer_);
-  Wanted.Until_ = Now + TokenPatience;
-  Decision Made;
-  Made.Action_ = Decision::Action::Wait;
-  Made.Ticket_ = Ticket;
-  Made.Reason_ = "token";
-  // Twice: the holder, and who takes its place.
-  Made.WaitUntil_ = Now + TokenPatience * 2;
-  Made.SettingsVersion_ = Intent_ ? Intent_->Version_ : 0;
-  TokenWaits_[Ticket] = std::move(Wanted);
-  return Made;
+  Callbacks_.RequestToken_(Owner, Ticket, Pending.Customer_);
+  Pending.TimeoutAt_ = Now + TokenTimeout;
+  Decision Result;
+  Result.Action_ = Decision::Action::Wait;
+  Result.Ticket_ = Ticket;
+  Result.Reason_ = "token";
+  // Twice: for the owner, and for the backup owner.
+  Result.WaitUntil_ = Now + TokenTimeout * 2;
+  Result.SettingsVersion_ = Intent_ ? Intent_->Version_ : 0;
+  TokenWaits_[Ticket] = std::move(Pending);
+  return Result;
 }
 
 Decision DispatchSteering::endTokenWait(std::uint64_t Ticket,
                                         std::optional<base::Duration> Wait,
                                         base::TimePoint Now) {
   TokenWaits_.erase(Ticket);
-  const auto Found = Flights_.find(Ticket);
-  if (Found == Flights_.end())
+  const auto Found = InFlight_.find(Ticket);
+  if (Found == InFlight_.end())
     return {};
-  return Wait ? refuseOverRate(Ticket, *Wait)
+  return Wait ? refuseRateLimited(Ticket, *Wait)
               : admit(Ticket, Found->second, Now);
 }
 
@@ -54,7 +54,7 @@
 DispatchSteering::grantToken(const base::CustomerId &Customer,
                              base::TimePoint Now) {
   const std::lock_guard Guard(Lock_);
-  return Rates_.takeFor(Customer, Now);
+  return RateLimiter_.takeForPeer(Customer, Now);
 }
 
 void DispatchSteering::handleTokenResponse(
@@ -64,37 +64,36 @@
   const auto Found = TokenWaits_.find(Ticket);
   if (Found == TokenWaits_.end())
     return;
-  // Who is asked in the keeper's place has few tokens; the keeper itself may
-  // still grant one.
-  if (Wait && std::exchange(Found->second.AsksBoth_, false)) {
-    Found->second.Denied_ = Wait;
+  // The backup owner has few tokens; the owner itself may still grant one.
+  if (Wait && std::exchange(Found->second.AwaitsBoth_, false)) {
+    Found->second.DeniedWait_ = Wait;
     return;
   }
   Woken.push_back({Ticket, endTokenWait(Ticket, Wait, Now)});
 }
 
-/// A holder that does not answer in time is dead, cut off or waits for its
-/// processor. The next in line is asked; where that one does not answer either,
-/// this host is the one in trouble, and goes by its own part alone.
+/// An owner that does not respond in time is dead, cut off or waiting for its
+/// processor, and the backup owner is asked. Where that one does not respond
+/// either, the problem is at this host, which falls back to its own share.
 void DispatchSteering::tick(base::TimePoint Now,
                             std::vector<steering::Wakeup> &Woken) {
   const std::lock_guard Guard(Lock_);
-  std::vector<std::uint64_t> Given;
-  for (auto &[Ticket, Each] : TokenWaits_) {
-    if (Now < Each.Until_)
+  std::vector<std::uint64_t> TimedOut;
+  for (auto &[Ticket, Pending] : TokenWaits_) {
+    if (Now < Pending.TimeoutAt_)
       continue;
-    if (Each.Next_.empty()) {
-      Given.push_back(Ticket);
+    if (Pending.BackupOwner_.empty()) {
+      TimedOut.push_back(Ticket);
       continue;
     }
-    Parts_.AskToken_(std::exchange(Each.Next_, {}), Ticket, Each.Customer_);
-    Each.Until_ = Now + TokenPatience;
-    Each.AsksBoth_ = true;
+    Callbacks_.RequestToken_(std::exchange(Pending.BackupOwner_, {}), Ticket, Pending.Customer_);
+    Pending.TimeoutAt_ = Now + TokenTimeout;
+    Pending.AwaitsBoth_ = true;
   }
-  for (const std::uint64_t Ticket : Given) {
-    const TokenWait &Each = TokenWaits_[Ticket];
+  for (const std::uint64_t Ticket : TimedOut) {
+    const TokenWait &Pending = TokenWaits_[Ticket];
     const auto Wait =
-        Each.Denied_ ? Each.Denied_ : Rates_.takeAlone(Each.Customer_, Now);
+        Pending.DeniedWait_ ? Pending.DeniedWait_ : RateLimiter_.takeFallback(Pending.Customer_, Now);
     Woken.push_back({Ticket, endTokenWait(Ticket, Wait, Now)});
   }
 }
--- a/libs/dispatch/LoadEstimate.h
+++ b/libs/dispatch/LoadEstimate.h
@@ -9,59 +9,61 @@
 
 namespace lychee::dispatch {
 
-/// What a host expects of a target that it has not heard of lately.
-struct UsualLoad {
+/// Load that is assumed for a target without a recent report.
+struct BaselineLoad {
   /// Requests of other hosts at the target.
-  double Others_ = 0;
-  /// How long one of them runs, in seconds.
+  double OtherRequests_ = 0;
+  /// Run time of one of them, in seconds.
   double RunSeconds_ = 0;
 };
 
-/// How many requests a target works on or holds, as far as one of many hosts
-/// can tell.
+/// Estimates how many requests a target runs or queues, as seen by one of many
+/// hosts.
 ///
 /// Load pattern: hundreds of targets with a few slots each, used by dozens of
-/// hosts, each of which sends to one of them once in many seconds. A host's own
-/// count says next to nothing; what the target reported with its last answer is
-/// exact, but holds only until the target has worked that off. So the own part
-/// is counted, and the others' is what was reported, which gives way to what is
-/// usual in the region as fast as the target can work it off: a long queue is
-/// believed for longer than a short one.
+/// hosts, each of which sends to a given target once in many seconds. A host's
+/// own count says next to nothing; the load that the target reported with its
+/// last answer is exact, but holds only until the target has worked it off. So
+/// own requests are counted, and the load of other hosts decays from the
+/// reported one to the mean of the region as fast as the target can work it
+/// off: a long queue is assumed to last longer than a short one.
 ///
-/// Without the usual load, a target that was not heard of counts as idle, and
-/// requests that cannot be answered in time wait in its queue.
+/// Without that baseline, a target without a recent report would count as idle,
+/// and requests that cannot be answered in time would wait in its queue.
 /// \see RegionLoads
 class LoadEstimate {
 public:
-  void sent() noexcept { ++Own_; }
-  void ended() noexcept { Own_ -= Own_ > 0 ? 1 : 0; }
+  void recordSend() noexcept { ++OwnRequests_; }
+  void recordEnd() noexcept { OwnRequests_ -= OwnRequests_ > 0 ? 1 : 0; }
 
-  /// The target told its load; own requests, but for the one just answered,
-  /// are in it.
-  void reported(const steering::TargetLoad &Told, base::TimePoint Now) noexcept;
+  /// Takes a load report of the target. It includes own requests, except for
+  /// the one just answered.
+  void recordReport(const steering::TargetLoad &Load, base::TimePoint Now) noexcept;
 
-  /// The target refused since it is full: \p Slots and its queue are taken.
-  void refused(std::uint32_t Slots, base::TimePoint Now) noexcept;
+  /// The target refused a request because it is full: its \p Slots slots and
+  /// its queue are taken.
+  void recordRefusal(std::uint32_t Slots, base::TimePoint Now) noexcept;
 
-  /// \returns the requests at the target now.
-  double at(const UsualLoad &Usual, base::TimePoint Now) const noexcept;
+  /// \returns the estimated number of requests at the target.
+  double estimate(const BaselineLoad &Baseline, base::TimePoint Now) const noexcept;
 
-  /// \returns the age of the target's last word on its load, where it said any.
-  std::optional<base::Duration> age(base::TimePoint Now) const noexcept {
-    if (Reported_ == base::TimePoint())
+  /// \returns the time since the target last reported its load or refused as
+  /// full; nothing: it has done neither.
+  std::optional<base::Duration> reportAge(base::TimePoint Now) const noexcept {
+    if (ReportedAt_ == base::TimePoint())
       return std::nullopt;
-    return Now - Reported_;
+    return Now - ReportedAt_;
   }
 
-  std::uint32_t own() const noexcept { return Own_; }
-  /// \returns requests of others for each slot, as last reported.
-  double othersPerSlot() const noexcept { return Others_ / Slots_; }
+  std::uint32_t ownRequests() const noexcept { return OwnRequests_; }
+  /// \returns requests of other hosts per slot, as last reported.
+  double othersPerSlot() const noexcept { return OtherRequests_ / Slots_; }
 
 private:
-  std::uint32_t Own_ = 0;
-  double Others_ = 0;
+  std::uint32_t OwnRequests_ = 0;
+  double OtherRequests_ = 0;
   double Slots_ = 1;
-  base::TimePoint Reported_;
+  base::TimePoint ReportedAt_;
 };
 
 } // namespace lychee::dispatch
--- a/libs/dispatch/RegionLoads.cpp
+++ b/libs/dispatch/RegionLoads.cpp
@@ -1,19 +1,19 @@
 #include "dispatch/RegionLoads.h"
 
-#include "dispatch/WorkTimes.h"
+#include "dispatch/ExecutionTimes.h"
 
 #include <algorithm>
 #include <cmath>
 
 namespace lychee::dispatch {
 
-void RegionLoads::reported(const base::RegionId &Region, double OthersPerSlot,
+void RegionLoads::recordReport(const base::RegionId &Region, double OthersPerSlot,
                            base::TimePoint Now) {
-  Sums &Of = Regions_[Region];
-  Of.Loads_.add(OthersPerSlot, Now);
-  Of.Count_.add(1, Now);
-  Of.Reported_ = Now;
-  Of.Mean_ = Of.Loads_.perSecond(Now) / Of.Count_.perSecond(Now);
+  ReportedLoad &Load = Regions_[Region];
+  Load.Loads_.add(OthersPerSlot, Now);
+  Load.Count_.add(1, Now);
+  Load.ReportedAt_ = Now;
+  Load.Mean_ = Load.Loads_.perSecond(Now) / Load.Count_.perSecond(Now);
 }
 
 double RegionLoads::othersPerSlot(const base::RegionId &Region,
@@ -22,11 +22,11 @@
   const auto Found = Regions_.find(Region);
   if (Found == Regions_.end())
     return 0;
-  const Sums &Of = Found->second;
-  const double WorkedOff = std::max(1.0, Of.Mean_) *
-                           std::max(RunSeconds, WorkTimes::LeastRunSeconds);
-  const double Age = base::toSeconds(Now - Of.Reported_);
-  return Of.Mean_ * std::exp2(-Age / WorkedOff);
+  const ReportedLoad &Load = Found->second;
+  const double HalfLife = std::max(1.0, Load.Mean_) *
+                           std::max(RunSeconds, ExecutionTimes::MinRunSeconds);
+  const double Age = base::toSeconds(Now - Load.ReportedAt_);
+  return Load.Mean_ * std::exp2(-Age / HalfLife);
 }
 
 } // namespace lychee::dispatch
--- a/libs/dispatch/RegionLoads.h
+++ b/libs/dispatch/RegionLoads.h
@@ -2,43 +2,43 @@
 #define LYCHEE_DISPATCH_REGIONLOADS_H
 
 #include "base/Id.h"
-#include "dispatch/DemandMeter.h"
+#include "dispatch/DecayingRate.h"
 
 #include <map>
 
 namespace lychee::dispatch {
 
-/// How busy a service's targets are in each region, by what targets reported
-/// to this host.
+/// Mean load of a service's targets in each region, by the reports that targets
+/// sent to this host.
 ///
-/// Load pattern: hundreds of targets and dozens of hosts; a host hears of one
-/// target every ten seconds or so. A target that it has not heard of is most
-/// likely as busy as the others of its region, not idle.
+/// Load pattern: hundreds of targets and dozens of hosts, where a host receives
+/// a report of a given target every ten seconds or so. A target without a
+/// recent report is most likely as busy as the others of its region, not idle.
 ///
-/// Failure that bounds this: after an overload a host that believed the last
-/// reports for good would refuse everything, and so never hear that the targets
-/// are idle again. \see LoadEstimate
+/// Failure that bounds this: after an overload, a host that trusted the last
+/// reports for good would refuse everything, and so never learn that the
+/// targets are idle again. \see LoadEstimate
 class RegionLoads {
 public:
-  /// \param OthersPerSlot  requests of other hosts, for each slot.
-  void reported(const base::RegionId &Region, double OthersPerSlot,
+  /// \param OthersPerSlot  requests of other hosts per slot.
+  void recordReport(const base::RegionId &Region, double OthersPerSlot,
                 base::TimePoint Now);
 
-  /// \returns the mean of the last seconds, which fades where no report comes:
-  /// a region to which nothing is sent any more works off what it has.
-  /// \param RunSeconds  how long a request runs there.
+  /// \returns the mean of the last seconds, which decays while no report
+  /// arrives: a region that gets no more requests works off those it has.
+  /// \param RunSeconds  run time of a request there.
   double othersPerSlot(const base::RegionId &Region, double RunSeconds,
                        base::TimePoint Now) const;
 
 private:
-  struct Sums {
-    DemandMeter Loads_;
-    DemandMeter Count_;
+  struct ReportedLoad {
+    DecayingRate Loads_;
+    DecayingRate Count_;
     double Mean_ = 0;
-    base::TimePoint Reported_;
+    base::TimePoint ReportedAt_;
   };
 
-  std::map<base::RegionId, Sums> Regions_;
+  std::map<base::RegionId, ReportedLoad> Regions_;
 };
 
 } // namespace lychee::dispatch
--- a/libs/dispatch/RegionSplit.cpp
+++ b/libs/dispatch/RegionSplit.cpp
@@ -1,7 +1,7 @@
 #include "dispatch/RegionSplit.h"
 
 #include "base/Hash.h"
-#include "dispatch/ObjectOrder.h"
+#include "dispatch/RendezvousHash.h"
 
 #include <algorithm>
 #include <cmath>
@@ -10,9 +10,9 @@
 
 namespace {
 
-/// Seeds that make the draw for leaving and the draw for where to go
-/// independent of each other and of the order of targets.
-constexpr std::uint64_t LeavingSeed = 0x6c65617665ULL;
+/// Seed that makes the draw for leaving independent of the choice of the
+/// destination and of the order of targets.
+constexpr std::uint64_t SpilloverSeed = 0x6c65617665ULL;
 
 bool allows(const std::vector<base::RegionId> *Homes,
             const base::RegionId &Region) {
@@ -20,18 +20,19 @@
          std::find(Homes->begin(), Homes->end(), Region) != Homes->end();
 }
 
-/// \returns a number of (0, 1) that is the same for an object at all hosts.
-double drawFor(std::uint64_t Object) noexcept {
-  return std::exp(-1 / placeOf(Object, LeavingSeed, 1));
+/// \returns a number in (0, 1) that is the same for an object at all hosts.
+double uniformDraw(std::uint64_t Object) noexcept {
+  return std::exp(-1 / rendezvousScore(Object, SpilloverSeed, 1));
 }
 
-/// \returns the slots that bound requests leave to those that may run anywhere.
+/// \returns the slots that bound requests leave to those that may run in any
+/// region.
 double freeSlots(const RegionLoad &Load) noexcept {
   return std::max(0.0,
-                  Load.Slots_ - Load.Bound_ / RegionSplit::BoundUtilization);
+                  Load.Slots_ - Load.BoundDemand_ / RegionSplit::BoundUtilization);
 }
 
-double sumOf(const std::map<base::RegionId, double> &Parts) {
+double totalOf(const std::map<base::RegionId, double> &Parts) {
   double Sum = 0;
   for (const auto &[Region, Part] : Parts)
     Sum += Part;
@@ -40,96 +41,96 @@
 
 } // namespace
 
-RegionSplit::Wanted
-RegionSplit::work(const std::map<base::RegionId, RegionLoad> &Loads) const {
+RegionSplit::DesiredSplit
+RegionSplit::computeDesired(const std::map<base::RegionId, RegionLoad> &Loads) const {
   double Slots = 0;
   double Demand = 0;
   for (const auto &[Region, Load] : Loads) {
     Slots += freeSlots(Load);
     Demand += Load.Demand_;
   }
-  Wanted Made;
-  const auto Own = Loads.find(Own_);
+  DesiredSplit Result;
+  const auto Own = Loads.find(OwnRegion_);
   if (Slots <= 0 || Own == Loads.end())
-    return Made;
-  // Before there is demand to go by, callers are taken to be spread evenly and
-  // all slots to be needed.
-  const bool Known = Demand > 0;
-  const double Even = Slots / static_cast<double>(Loads.size());
-  const double Kept = Known ? std::max(KeptUtilization, Demand / Slots) : 1.0;
+    return Result;
+  // Without known demand, callers are assumed to be spread evenly and all slots
+  // to be needed.
+  const bool HasDemand = Demand > 0;
+  const double EvenDemand = Slots / static_cast<double>(Loads.size());
+  const double MaxUtilization = HasDemand ? std::max(LocalUtilization, Demand / Slots) : 1.0;
   for (const auto &[Region, Load] : Loads) {
-    const double Asked = Known ? Load.Demand_ : Even;
-    const double Room = Kept * freeSlots(Load) - Asked;
-    if (Region == Own_)
-      Made.Leaving_ = Asked > 0 ? std::clamp(-Room / Asked, 0.0, 1.0) : 0;
-    else if (Room > 0)
-      Made.Spare_[Region] = Room;
+    const double RegionDemand = HasDemand ? Load.Demand_ : EvenDemand;
+    const double Spare = MaxUtilization * freeSlots(Load) - RegionDemand;
+    if (Region == OwnRegion_)
+      Result.SpilloverShare_ = RegionDemand > 0 ? std::clamp(-Spare / RegionDemand, 0.0, 1.0) : 0;
+    else if (Spare > 0)
+      Result.SpareSlots_[Region] = Spare;
   }
-  // Nobody else has room: what stays at least saves the way.
-  if (sumOf(Made.Spare_) <= 0 && freeSlots(Own->second) > 0)
-    Made.Leaving_ = 0;
-  return Made;
+  // No other region has free slots: requests that stay at least save the trip.
+  if (totalOf(Result.SpareSlots_) <= 0 && freeSlots(Own->second) > 0)
+    Result.SpilloverShare_ = 0;
+  return Result;
 }
 
 void RegionSplit::update(const std::map<base::RegionId, RegionLoad> &Loads,
                          base::TimePoint Now) {
-  const Wanted Aim = work(Loads);
+  const DesiredSplit Desired = computeDesired(Loads);
   std::map<base::RegionId, double> Slots;
   for (const auto &[Region, Load] : Loads)
     Slots[Region] = Load.Slots_;
   double Changed = 0;
   for (const auto &[Region, Count] : Slots)
     Changed += std::abs(Count - Slots_[Region]);
-  const bool Large = Changed > LargeChange * sumOf(Slots);
+  const bool IsLargeChange = Changed > LargeSlotChange * totalOf(Slots);
   Slots_ = std::move(Slots);
-  if (!Updated_) {
-    Updated_ = Now;
-    Leaving_ = Aim.Leaving_;
-    Spare_ = Aim.Spare_;
+  if (!UpdatedAt_) {
+    UpdatedAt_ = Now;
+    SpilloverShare_ = Desired.SpilloverShare_;
+    SpilloverWeights_ = Desired.SpareSlots_;
     return;
   }
-  if (Large)
-    FastUntil_ = Now + FastTime;
+  if (IsLargeChange)
+    FastUntil_ = Now + FastChangeTime;
   const double Step =
-      base::toSeconds(Now - *Updated_) * (Now < FastUntil_ ? FastPace : Pace);
-  Updated_ = Now;
-  Leaving_ += std::clamp(Aim.Leaving_ - Leaving_, -Step, Step);
-  // Where it goes moves at the same pace; a region without room is left to the
-  // estimate of each target's load.
-  const double Sum = sumOf(Aim.Spare_);
+      base::toSeconds(Now - *UpdatedAt_) * (Now < FastUntil_ ? MaxFastChangePerSecond : MaxChangePerSecond);
+  UpdatedAt_ = Now;
+  SpilloverShare_ += std::clamp(Desired.SpilloverShare_ - SpilloverShare_, -Step, Step);
+  // The destinations change at the same pace. A region without free slots is
+  // left to the load estimates of its targets.
+  const double Sum = totalOf(Desired.SpareSlots_);
   if (Sum <= 0)
     return;
-  std::map<base::RegionId, double> Next;
-  const double Before = std::max(sumOf(Spare_), 1e-9);
+  std::map<base::RegionId, double> NewWeights;
+  const double OldSum = std::max(totalOf(SpilloverWeights_), 1e-9);
   for (const auto &[Region, Count] : Slots_) {
-    if (Region == Own_)
+    if (Region == OwnRegion_)
       continue;
-    const auto To = Aim.Spare_.find(Region);
-    const double Wish = To == Aim.Spare_.end() ? 0 : To->second / Sum;
-    const double Had = Spare_.contains(Region) ? Spare_[Region] / Before : Wish;
-    Next[Region] = Had + std::clamp(Wish - Had, -Step, Step);
+    const auto Found = Desired.SpareSlots_.find(Region);
+    const double DesiredWeight = Found == Desired.SpareSlots_.end() ? 0 : Found->second / Sum;
+    const double OldWeight = SpilloverWeights_.contains(Region) ? SpilloverWeights_[Region] / OldSum : DesiredWeight;
+    NewWeights[Region] = OldWeight + std::clamp(DesiredWeight - OldWeight, -Step, Step);
   }
-  Spare_ = std::move(Next);
+  SpilloverWeights_ = std::move(NewWeights);
 }
 
 base::RegionId
 RegionSplit::regionFor(std::uint64_t Object, std::uint64_t BodyBytes,
                        const std::vector<base::RegionId> *Homes) const {
-  const double Part =
-      Leaving_ * (BodyBytes > LargeBodyBytes ? LargeBodyPart : 1);
-  if (allows(Homes, Own_) && drawFor(Object) >= Part)
-    return Own_;
+  const double Share =
+      SpilloverShare_ * (BodyBytes > LargeBodyBytes ? LargeBodyFactor : 1);
+  if (allows(Homes, OwnRegion_) && uniformDraw(Object) >= Share)
+    return OwnRegion_;
   const std::map<base::RegionId, double> &Weights =
-      allows(Homes, Own_) ? Spare_ : Slots_;
-  base::RegionId Chosen = Own_;
+      allows(Homes, OwnRegion_) ? SpilloverWeights_ : Slots_;
+  base::RegionId Chosen = OwnRegion_;
   double Highest = -1;
   for (const auto &[Region, Weight] : Weights) {
     if (Weight <= 0 || !allows(Homes, Region))
       continue;
-    const double Place =
-        placeOf(Object, base::stableHash(Region.name()), Weight);
-    if (Place > Highest) {
-      Highest = Place;
+    const double Score =
+        rendezvousScore(Object, base::stableHash(Region.name()), Weight);
+    if (Score > Highest) {
+      Highest = Score;
       Chosen = Region;
     }
   }
--- a/libs/dispatch/TargetChooser.cpp
+++ b/libs/dispatch/TargetChooser.cpp
@@ -1,6 +1,6 @@
 #include "dispatch/TargetChooser.h"
 
-#include "dispatch/ObjectOrder.h"
+#include "dispatch/RendezvousHash.h"
 
 #include <algorithm>
 
@@ -8,153 +8,155 @@
 
 namespace {
 
-/// A second place that this host knows to be warm costs a little: the first is
-/// where other hosts send, and keeps the object for longer.
-constexpr double KnownSecondCold = 0.04;
+/// Probability that an object is cold at its second rank where this host knows
+/// it to be warm: a small one, since the first is where other hosts send, and
+/// keeps the object for longer.
+constexpr double KnownSecondRankColdProbability = 0.04;
 
 /// A target that fails a tenth of its requests costs as much as one that is
-/// slower by FailureCost tenths: a failed request costs a second send.
-constexpr double FailureCost = 4;
+/// slower by FailurePenalty tenths: a failed request costs a second send.
+constexpr double FailurePenalty = 4;
 
-/// A target that fails a twentieth more than it may costs as much as a place
-/// where the object is cold: it is left, and nearly at once, since to go back
-/// and forth between two places makes both cold.
-constexpr double ExcessCost = 20;
+/// A target that fails a twentieth more than is tolerated costs as much as one
+/// where the object is cold. Its objects leave it nearly at once, since moving
+/// back and forth between two targets makes both cold.
+constexpr double ExcessFailurePenalty = 20;
 
-/// A target that is cold since it started takes twice as long.
-constexpr double ColdCost = 1;
+/// Additional run time at a target that is cold since its start, relative to
+/// the usual one: it takes twice as long.
+constexpr double ColdStartSlowdown = 1;
 
-bool contains(std::span<const base::TargetId> All, const base::TargetId &One) {
-  return std::find(All.begin(), All.end(), One) != All.end();
+bool contains(std::span<const base::TargetId> Targets, const base::TargetId &Target) {
+  return std::find(Targets.begin(), Targets.end(), Target) != Targets.end();
 }
 
-bool mayServe(const ChoiceQuery &Asked, const TargetState &Each,
+bool mayServe(const ChoiceQuery &Query, const TargetState &Target,
               base::TimePoint Now) {
-  if (Each.Record_.Leaving_ || Each.Evacuated_ || Each.AddressTaken_ ||
-      Each.Trust_.isOut(Now) || contains(Asked.Tried_, Each.Record_.Id_))
+  if (Target.Record_.Leaving_ || Target.Evacuated_ || Target.AddressReused_ ||
+      Target.Health_.isEjected(Now) || contains(Query.TriedTargets_, Target.Record_.Id_))
     return false;
-  return Asked.Homes_ == nullptr ||
-         std::find(Asked.Homes_->begin(), Asked.Homes_->end(), Each.Region_) !=
-             Asked.Homes_->end();
+  return Query.Homes_ == nullptr ||
+         std::find(Query.Homes_->begin(), Query.Homes_->end(), Target.Region_) !=
+             Query.Homes_->end();
 }
 
-bool needsSounding(const TargetState &Each, base::TimePoint Now) {
-  return Now < Each.ColdUntil_ || Each.Trust_.isOnProbation(Now);
+bool needsProbe(const TargetState &Target, base::TimePoint Now) {
+  return Now < Target.ColdUntil_ || Target.Health_.isOnProbation(Now);
 }
 
 } // namespace
 
 std::vector<TargetChooser::Candidate>
-TargetChooser::rank(const ChoiceQuery &Asked, std::span<TargetState> Targets,
+TargetChooser::rank(const ChoiceQuery &Query, std::span<TargetState> Targets,
                     base::TimePoint Now) const {
   std::vector<Candidate> Ranked;
   Ranked.reserve(Targets.size());
-  for (TargetState &Each : Targets)
-    if (mayServe(Asked, Each, Now))
+  for (TargetState &Current : Targets)
+    if (mayServe(Query, Current, Now))
       Ranked.push_back(
-          {&Each, placeOf(Asked.Object_, Each.Hash_, Each.Record_.Slots_), 0});
+          {&Current, rendezvousScore(Query.Object_, Current.Hash_, Current.Record_.Slots_), 0});
   std::sort(Ranked.begin(), Ranked.end(),
             [](const Candidate &Left, const Candidate &Right) {
-              return Left.Place_ > Right.Place_;
+              return Left.Score_ > Right.Score_;
             });
   // Each region has an order of its own, so that an object is warm in each.
-  std::vector<std::pair<const base::RegionId *, std::size_t>> Counted;
-  for (Candidate &Each : Ranked) {
+  std::vector<std::pair<const base::RegionId *, std::size_t>> RankCounts;
+  for (Candidate &Current : Ranked) {
     const auto Found =
-        std::find_if(Counted.begin(), Counted.end(), [&Each](const auto &One) {
-          return *One.first == Each.Target_->Region_;
+        std::find_if(RankCounts.begin(), RankCounts.end(), [&Current](const auto &Entry) {
+          return *Entry.first == Current.Target_->Region_;
         });
-    if (Found == Counted.end())
-      Counted.emplace_back(&Each.Target_->Region_, 1);
+    if (Found == RankCounts.end())
+      RankCounts.emplace_back(&Current.Target_->Region_, 1);
     else
-      Each.Rank_ = Found->second++;
+      Current.Rank_ = Found->second++;
   }
   return Ranked;
 }
 
-/// \returns how likely the run is cold, 0 to 1.
-double TargetChooser::coldShare(const ChoiceQuery &Asked, const Candidate &Each,
+/// \returns the probability that the run is cold, 0 to 1.
+double TargetChooser::coldProbability(const ChoiceQuery &Query, const Candidate &Evaluated,
                                 base::TimePoint Now) const {
-  if (Each.Target_->Warm_.isWarm(Asked.Object_, Now))
-    return Each.Rank_ == 0 ? 0 : KnownSecondCold;
-  if (Each.Target_->Region_ != Asked.Region_ || Each.Rank_ >= WarmPlaces)
+  if (Evaluated.Target_->RecentObjects_.contains(Query.Object_, Now))
+    return Evaluated.Rank_ == 0 ? 0 : KnownSecondRankColdProbability;
+  if (Evaluated.Target_->Region_ != Query.Region_ || Evaluated.Rank_ >= WarmRanks)
     return 1;
-  return Each.Rank_ == 0 ? 0 : SecondPlaceCold;
+  return Evaluated.Rank_ == 0 ? 0 : SecondRankColdProbability;
 }
 
-double TargetChooser::loadAt(const ChoiceQuery &Asked,
+double TargetChooser::estimatedLoad(const ChoiceQuery &Query,
                              const TargetState &Target, base::TimePoint Now) {
-  UsualLoad Usual;
-  Usual.RunSeconds_ = Asked.Work_.usualSeconds();
-  if (Asked.Loads_ != nullptr)
-    Usual.Others_ =
-        Asked.Loads_->othersPerSlot(Target.Region_, Usual.RunSeconds_, Now) *
+  BaselineLoad Baseline;
+  Baseline.RunSeconds_ = Query.ExecutionTimes_.meanSeconds();
+  if (Query.RegionLoads_ != nullptr)
+    Baseline.OtherRequests_ =
+        Query.RegionLoads_->othersPerSlot(Target.Region_, Baseline.RunSeconds_, Now) *
         Target.Record_.Slots_;
-  return Target.Load_.at(Usual, Now);
+  return Target.Load_.estimate(Baseline, Now);
 }
 
-Choice TargetChooser::reckon(const ChoiceQuery &Asked, const Candidate &Each,
+Choice TargetChooser::evaluate(const ChoiceQuery &Query, const Candidate &Evaluated,
                              base::TimePoint Now) const {
-  const TargetState &Target = *Each.Target_;
-  const double Usual = Asked.Work_.usualSeconds();
+  const TargetState &Target = *Evaluated.Target_;
+  const double MeanRun = Query.ExecutionTimes_.meanSeconds();
   const double Slots = std::max(1U, Target.Record_.Slots_);
-  const double Load = loadAt(Asked, Target, Now);
+  const double Load = estimatedLoad(Query, Target, Now);
   const double Ahead = std::max(0.0, Load + 1 - Slots);
-  const double Waiting = Ahead / Slots * Usual * Target.Slowness_;
-  const double Gain = Asked.Work_.coldSeconds() - Asked.Work_.warmSeconds();
-  const double Longer = coldShare(Asked, Each, Now) * Gain;
-  const double ColdPlace = Asked.Work_.coldSeconds() + Gain * ColdRunPrice;
-  const double Start = Now < Target.ColdUntil_ ? ColdCost : 0;
-  const double Run = (Asked.Work_.warmSeconds() + Longer) * Target.Slowness_;
-  double Time = Waiting + Run * (1 + Start);
-  double Price = Longer * ColdRunPrice +
-                 Usual * FailureCost * Target.Trust_.failureShare() +
-                 ColdPlace * ExcessCost * Target.Trust_.excess();
+  const double Waiting = Ahead / Slots * MeanRun * Target.Slowness_;
+  const double WarmGain = Query.ExecutionTimes_.coldSeconds() - Query.ExecutionTimes_.warmSeconds();
+  const double ExpectedColdTime = coldProbability(Query, Evaluated, Now) * WarmGain;
+  const double ColdCost = Query.ExecutionTimes_.coldSeconds() + WarmGain * ColdRunPenalty;
+  const double StartSlowdown = Now < Target.ColdUntil_ ? ColdStartSlowdown : 0;
+  const double Run = (Query.ExecutionTimes_.warmSeconds() + ExpectedColdTime) * Target.Slowness_;
+  double Time = Waiting + Run * (1 + StartSlowdown);
+  double Penalty = ExpectedColdTime * ColdRunPenalty +
+                 MeanRun * FailurePenalty * Target.Health_.failureShare() +
+                 ColdCost * ExcessFailurePenalty * Target.Health_.excessFailureShare();
   if (Target.Region_ != Region_) {
-    Time += base::toSeconds(RegionTrip);
-    Price += base::toSeconds(RegionPrice) +
-             base::toSeconds(RegionPricePerKilobyte) *
-                 static_cast<double>(Asked.BodyBytes_) / 1024;
+    Time += base::toSeconds(RegionRoundTrip);
+    Penalty += base::toSeconds(CrossRegionPenalty) +
+             base::toSeconds(CrossRegionPenaltyPerKilobyte) *
+                 static_cast<double>(Query.BodyBytes_) / 1024;
   } else if (Target.Record_.Zone_ != Zone_) {
-    Price += base::toSeconds(ZonePrice);
+    Penalty += base::toSeconds(CrossZonePenalty);
   }
-  return {Each.Target_,
+  return {Evaluated.Target_,
           base::fromSeconds(Time),
-          base::fromSeconds(Time + Price),
+          base::fromSeconds(Time + Penalty),
           base::fromSeconds(Waiting),
-          Each.Rank_,
-          Each.Rank_ < WarmPlaces ? "object-order" : "spill",
+          Evaluated.Rank_,
+          Evaluated.Rank_ < WarmRanks ? "object-order" : "spill",
           Load};
 }
 
 std::optional<Choice>
-TargetChooser::choose(const ChoiceQuery &Asked, std::span<TargetState> Targets,
-                      const std::function<bool(TargetState &)> &MaySound,
+TargetChooser::choose(const ChoiceQuery &Query, std::span<TargetState> Targets,
+                      const std::function<bool(TargetState &)> &MayProbe,
                       base::TimePoint Now) const {
-  std::vector<Choice> Reckoned;
-  for (const Candidate &Each : rank(Asked, Targets, Now))
-    Reckoned.push_back(reckon(Asked, Each, Now));
-  std::sort(Reckoned.begin(), Reckoned.end(),
+  std::vector<Choice> Choices;
+  for (const Candidate &Option : rank(Query, Targets, Now))
+    Choices.push_back(evaluate(Query, Option, Now));
+  std::sort(Choices.begin(), Choices.end(),
             [](const Choice &Left, const Choice &Right) {
               return Left.Cost_ < Right.Cost_;
             });
   const auto Rest = std::stable_partition(
-      Reckoned.begin(), Reckoned.end(),
-      [](const Choice &Each) { return Each.Rank_ < OwnPlaces; });
-  const std::span<const Choice> All(Reckoned);
-  const auto Own = static_cast<std::size_t>(Rest - Reckoned.begin());
-  if (const auto Chosen = firstUsable(All.first(Own), MaySound, Now))
+      Choices.begin(), Choices.end(),
+      [](const Choice &Option) { return Option.Rank_ < PreferredRanks; });
+  const std::span<const Choice> All(Choices);
+  const auto Preferred = static_cast<std::size_t>(Rest - Choices.begin());
+  if (const auto Chosen = firstUsable(All.first(Preferred), MayProbe, Now))
     return Chosen;
-  return firstUsable(All.subspan(Own), MaySound, Now);
+  return firstUsable(All.subspan(Preferred), MayProbe, Now);
 }
 
 std::optional<Choice>
 TargetChooser::firstUsable(std::span<const Choice> Ordered,
-                           const std::function<bool(TargetState &)> &MaySound,
+                           const std::function<bool(TargetState &)> &MayProbe,
                            base::TimePoint Now) {
-  for (const Choice &Each : Ordered)
-    if (!needsSounding(*Each.Target_, Now) || MaySound(*Each.Target_))
-      return Each;
+  for (const Choice &Option : Ordered)
+    if (!needsProbe(*Option.Target_, Now) || MayProbe(*Option.Target_))
+      return Option;
   return std::nullopt;
 }
 
--- a/libs/dispatch/TargetChooser.h
+++ b/libs/dispatch/TargetChooser.h
@@ -3,7 +3,7 @@
 
 #include "dispatch/RegionLoads.h"
 #include "dispatch/TargetState.h"
-#include "dispatch/WorkTimes.h"
+#include "dispatch/ExecutionTimes.h"
 
 #include <functional>
 #include <optional>
@@ -13,109 +13,111 @@
 
 namespace lychee::dispatch {
 
-/// One request, as far as the choice of its target needs it.
+/// Properties of a request that the choice of its target depends on.
 struct ChoiceQuery {
   std::uint64_t Object_ = 0;
   std::uint64_t BodyBytes_ = 0;
-  /// Where it should run; elsewhere it counts as cold. \see RegionSplit
+  /// Region in which it should run; elsewhere it counts as cold. \see
+  /// RegionSplit
   base::RegionId Region_;
-  /// Regions in which it may be served; null: in any.
+  /// Regions in which it may be served; null: any.
   const std::vector<base::RegionId> *Homes_ = nullptr;
   /// Targets that it was sent to before.
-  std::span<const base::TargetId> Tried_;
-  /// How long requests of its rule run.
-  WorkTimes Work_;
-  /// How busy targets of its service are; null: nothing is known.
-  const RegionLoads *Loads_ = nullptr;
+  std::span<const base::TargetId> TriedTargets_;
+  /// Execution times of its rule.
+  ExecutionTimes ExecutionTimes_;
+  /// Load of its service's targets; null: unknown.
+  const RegionLoads *RegionLoads_ = nullptr;
 };
 
-/// A target and the time within which it should answer.
+/// A chosen target, and what is expected of it.
 struct Choice {
   TargetState *Target_ = nullptr;
-  base::Duration Expected_{};
-  /// What candidates are ordered by: the time and, as time, what else the
-  /// choice costs callers.
+  base::Duration ExpectedResponseTime_{};
+  /// Order of the candidates: the expected response time plus other costs to
+  /// callers, expressed as time.
   base::Duration Cost_{};
-  /// Part of Expected_ spent waiting for a slot.
-  base::Duration Waiting_{};
-  /// Place in the object's order, within its region.
+  /// Part of ExpectedResponseTime_ spent waiting for a slot.
+  base::Duration ExpectedWait_{};
+  /// Rank in the object's order, within the target's region; 0 is the first.
   std::size_t Rank_ = 0;
   std::string_view Reason_;
-  /// Requests that are reckoned to be at the target.
+  /// Estimated number of requests at the target.
   double Load_ = 0;
 };
 
-/// Chooses the target that costs callers least, among the first few of the
-/// object's own order in each region.
+/// Chooses the target with the lowest cost to callers, among the first few of
+/// the object's own order in each region.
 ///
-/// Load pattern: few slots a target, more demand in a region than it has slots,
-/// and targets that are three times faster with an object they handled lately.
-/// Taking the least loaded of all targets makes every target cold; holding on
-/// to the object's first target makes a queue there. So the time a request
-/// would take is reckoned for each candidate: its queue, its slowness, the way
-/// to its region, and whether the object is likely to be cold there.
+/// Load pattern: few slots per target, more demand in a region than it has
+/// slots, and targets that are three times faster with an object they handled
+/// recently. Choosing the least loaded of all targets would make every target
+/// cold; keeping an object on its first target would build up a queue there. So
+/// the response time is estimated for each candidate: its queue, its slowness,
+/// the trip to its region, and whether the object is likely to be cold there.
 ///
 /// A cold run costs more than its own time: it keeps a slot from requests that
-/// run warm, and pushes another object out, which then runs cold in turn. So
-/// it has a price beside its time (ColdRunPrice), and a request whose place is
-/// too full to make the deadline is refused rather than run cold elsewhere.
+/// run warm, and evicts another object, which then runs cold in turn. So a
+/// penalty is added to its time (ColdRunPenalty), and a request whose preferred
+/// targets are too busy to meet the deadline is refused rather than run cold
+/// elsewhere.
 class TargetChooser {
 public:
-  /// Places in an object's order, in its region, that count as warm for it:
-  /// two, so that one that is full has a second. More would push objects out
+  /// Ranks in an object's order, in its region, that count as warm for it: two,
+  /// so that there is a second one where one is full. More would evict objects
   /// where a region has ten objects for each that a target keeps.
-  static constexpr std::size_t WarmPlaces = 2;
-  /// Places in an object's order, in its region, that are tried before all
-  /// others: where each host takes the target that seems best to it, an object
-  /// that lost its place runs cold at as many targets as there are hosts.
-  static constexpr std::size_t OwnPlaces = 4;
-  /// Price of a cold run, in parts of what it takes longer than a warm one: it
-  /// keeps a slot from warm runs and pushes another object out. Without bound
-  /// an object would starve beside free targets.
-  static constexpr double ColdRunPrice = 8;
-  /// How likely an object is cold at its second place where this host does not
-  /// know: other hosts may have warmed it.
-  static constexpr double SecondPlaceCold = 0.8;
-  /// There and back between regions, 20 ms each way (deployments' own figure).
-  static constexpr base::Duration RegionTrip = std::chrono::milliseconds(40);
-  /// What crossing zones and regions costs beside time, as time: bytes are
-  /// paid for, and links are shared.
-  static constexpr base::Duration ZonePrice = std::chrono::milliseconds(4);
-  static constexpr base::Duration RegionPrice = std::chrono::milliseconds(10);
-  static constexpr base::Duration RegionPricePerKilobyte =
+  static constexpr std::size_t WarmRanks = 2;
+  /// Ranks in an object's order, in each region, that are tried before all
+  /// others. If each host took the target that seems best to it, an object that
+  /// lost its target would run cold at as many targets as there are hosts.
+  static constexpr std::size_t PreferredRanks = 4;
+  /// Penalty for a cold run, as a multiple of the time that it takes longer
+  /// than a warm one: it keeps a slot from warm runs and evicts another object.
+  /// Without a bound an object would starve beside free targets.
+  static constexpr double ColdRunPenalty = 8;
+  /// Probability that an object is cold at its second rank where this host does
+  /// not know: other hosts may have warmed it.
+  static constexpr double SecondRankColdProbability = 0.8;
+  /// Round trip between regions: 20 ms each way, as deployments state.
+  static constexpr base::Duration RegionRoundTrip = std::chrono::milliseconds(40);
+  /// Penalties for crossing availability zones and regions, expressed as time:
+  /// traffic is paid for by the byte, and links are shared.
+  static constexpr base::Duration CrossZonePenalty = std::chrono::milliseconds(4);
+  static constexpr base::Duration CrossRegionPenalty = std::chrono::milliseconds(10);
+  static constexpr base::Duration CrossRegionPenaltyPerKilobyte =
       std::chrono::milliseconds(1);
 
   TargetChooser(base::RegionId Region, base::ZoneId Zone)
       : Region_(std::move(Region)), Zone_(std::move(Zone)) {}
 
-  /// \param MaySound  whether this host is the one that sends to a target that
-  /// is cold or may have restarted; asked only for such targets.
+  /// \param MayProbe  whether this host is the one that sends to a target that
+  /// is cold or may have restarted; called only for such targets.
   /// \returns nothing where no target may take the request.
   std::optional<Choice>
-  choose(const ChoiceQuery &Asked, std::span<TargetState> Targets,
-         const std::function<bool(TargetState &)> &MaySound,
+  choose(const ChoiceQuery &Query, std::span<TargetState> Targets,
+         const std::function<bool(TargetState &)> &MayProbe,
          base::TimePoint Now) const;
 
 private:
   struct Candidate {
     TargetState *Target_ = nullptr;
-    double Place_ = 0;
+    double Score_ = 0;
     std::size_t Rank_ = 0;
   };
 
-  /// \returns the first that may be sent to.
+  /// \returns the first target that may be sent to.
   static std::optional<Choice>
   firstUsable(std::span<const Choice> Ordered,
-              const std::function<bool(TargetState &)> &MaySound,
+              const std::function<bool(TargetState &)> &MayProbe,
               base::TimePoint Now);
-  std::vector<Candidate> rank(const ChoiceQuery &Asked,
+  std::vector<Candidate> rank(const ChoiceQuery &Query,
                               std::span<TargetState> Targets,
                               base::TimePoint Now) const;
-  double coldShare(const ChoiceQuery &Asked, const Candidate &Each,
+  double coldProbability(const ChoiceQuery &Query, const Candidate &Evaluated,
                    base::TimePoint Now) const;
-  static double loadAt(const ChoiceQuery &Asked, const TargetState &Target,
+  static double estimatedLoad(const ChoiceQuery &Query, const TargetState &Target,
                        base::TimePoint Now);
-  Choice reckon(const ChoiceQuery &Asked, const Candidate &Each,
+  Choice evaluate(const ChoiceQuery &Query, const Candidate &Evaluated,
                 base::TimePoint Now) const;
 
   const base::RegionId Region_;
--- a/libs/dispatch/TargetHealth.cpp
+++ b/libs/dispatch/TargetHealth.cpp
@@ -6,45 +6,46 @@
 
 namespace {
 
-/// Weight of one end in the share of failures: the last ten count.
+/// Weight of one outcome in the shares of failures and refusals: about the last
+/// ten count.
 constexpr double ShareWeight = 0.1;
 
 } // namespace
 
-void TargetHealth::answered(base::TimePoint Now) noexcept {
-  if (isSuspect(Now))
-    ProbationUntil_ = Now + Probation;
-  SuspectUntil_ = {};
-  InRow_ = 0;
-  NextOut_ = FirstOut;
+void TargetHealth::recordAnswer(base::TimePoint Now) noexcept {
+  if (mayHaveRestarted(Now))
+    ProbationUntil_ = Now + ProbationTime;
+  RestartSuspectedUntil_ = {};
+  ConsecutiveFailures_ = 0;
+  NextEjectionTime_ = BaseEjectionTime;
   FailureShare_ -= ShareWeight * FailureShare_;
   RefusalShare_ -= ShareWeight * RefusalShare_;
 }
 
-void TargetHealth::takeOut(base::TimePoint Now) noexcept {
-  SuspectUntil_ = Now + EntryProof;
-  OutUntil_ = Now + NextOut_;
-  NextOut_ = std::min(NextOut_ * 2, LongestOut);
+void TargetHealth::eject(base::TimePoint Now) noexcept {
+  RestartSuspectedUntil_ = Now + RestartDetectionTime;
+  EjectedUntil_ = Now + NextEjectionTime_;
+  NextEjectionTime_ = std::min(NextEjectionTime_ * 2, MaxEjectionTime);
 }
 
-void TargetHealth::unreachable(base::TimePoint Now) noexcept {
+void TargetHealth::recordConnectFailure(base::TimePoint Now) noexcept {
   FailureShare_ += ShareWeight * (1 - FailureShare_);
-  takeOut(Now);
+  eject(Now);
 }
 
-void TargetHealth::failed(base::TimePoint Now) noexcept {
+void TargetHealth::recordFailure(base::TimePoint Now) noexcept {
   FailureShare_ += ShareWeight * (1 - FailureShare_);
-  if (++InRow_ >= FailuresInRow)
-    takeOut(Now);
+  if (++ConsecutiveFailures_ >= MaxConsecutiveFailures)
+    eject(Now);
 }
 
-void TargetHealth::refused() noexcept {
+void TargetHealth::recordRefusal() noexcept {
   RefusalShare_ += ShareWeight * (1 - RefusalShare_);
 }
 
-double TargetHealth::excess() const noexcept {
+double TargetHealth::excessFailureShare() const noexcept {
   return std::max(
-      {0.0, FailureShare_ - KeptFailures, RefusalShare_ - KeptRefusals});
+      {0.0, FailureShare_ - ToleratedFailureShare, RefusalShare_ - ToleratedRefusalShare});
 }
 
 } // namespace lychee::dispatch
--- a/libs/dispatch/TargetState.h
+++ b/libs/dispatch/TargetState.h
@@ -4,27 +4,26 @@
 #include "dispatch/ColdTargetRateLimiter.h"
 #include "dispatch/LoadEstimate.h"
 #include "dispatch/TargetHealth.h"
-#include "dispatch/WarmMemory.h"
+#include "dispatch/RecentObjects.h"
 #include "live/TargetRecord.h"
 
 namespace lychee::dispatch {
 
-/// All that is known of one target: what it registered, and what this host saw.
+/// State of one target: its registration, and what this host observed.
 struct TargetState {
   live::TargetRecord Record_;
   base::RegionId Region_;
   std::uint64_t Hash_ = 0;
   base::TimePoint ColdUntil_;
-  /// Its zone is to be kept clear.
+  /// Its availability zone is evacuated.
   bool Evacuated_ = false;
   /// Another target answered at its address; holds until it registers anew.
-  bool AddressTaken_ = false;
+  bool AddressReused_ = false;
   LoadEstimate Load_;
-  TargetHealth Trust_;
-  ColdTargetRateLimiter Cold_;
-  WarmMemory Warm_;
-  /// Its time for a request, as a multiple of what is usual for the request's
-  /// rule.
+  TargetHealth Health_;
+  ColdTargetRateLimiter ColdLimiter_;
+  RecentObjects RecentObjects_;
+  /// Its response time, as a multiple of what is usual for the request's rule.
   double Slowness_ = 1;
 };
 
--- /dev/null
+++ b/tests/dispatch/DispatchSimulationTest.cpp
@@ -0,0 +1,429 @@
+#include "dispatch/DispatchSteering.h"
+
+#include "base/Random.h"
+
+#include <algorithm>
+#include <cmath>
+#include <deque>
+#include <functional>
+#include <map>
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "CppUTest/TestHarness.h"
+
+namespace base = lychee::base;
+namespace dispatch = lychee::dispatch;
+namespace live = lychee::live;
+namespace steering = lychee::steering;
+using steering::Decision;
+using steering::SendOutcome;
+using namespace std::chrono_literals;
+
+namespace {
+
+/// A load on a few targets, and the objective of its callers.
+struct SimulatedLoad {
+  std::size_t Hosts_ = 4;
+  std::size_t Targets_ = 6;
+  std::uint32_t Slots_ = 3;
+  std::uint64_t Objects_ = 48;
+  double PerSecond_ = 20;
+  /// Objects that a target stays warm for.
+  std::size_t CachedObjects_ = 25;
+  double WarmSeconds_ = 0.35;
+  double ColdSeconds_ = 1.16;
+  base::Duration Objective_ = 800ms;
+  base::Duration Deadline_ = 1500ms;
+  /// Share of the requests that the first target refuses with slots free.
+  double Refused_ = 0;
+};
+
+/// What callers got in one run.
+struct SimulationResult {
+  int Requests_ = 0;
+  int InTime_ = 0;
+  int Late_ = 0;
+  int Refused_ = 0;
+  int ColdRuns_ = 0;
+  /// Runs whose request was over before they ended.
+  int WastedRuns_ = 0;
+  double inTimeShare() const { return double(InTime_) / Requests_; }
+};
+
+/// Simulates several hosts that send one service's requests to targets that
+/// queue a few, stay warm for the last objects and drop requests past their
+/// deadline; in virtual time, from a seed.
+class DispatchSimulation {
+public:
+  DispatchSimulation(const SimulatedLoad &Load, std::uint64_t Seed)
+      : Load_(Load), Random_(Seed), Targets_(Load.Targets_) {
+    auto Intent = std::make_shared<live::Intent>();
+    Intent->Version_ = 1;
+    Intent->Services_[base::ServiceId("s")].Id_ = base::ServiceId("s");
+    for (std::size_t Index = 0; Index < Load.Targets_; ++Index)
+      Known_.push_back(newTarget(Index));
+    Intent_ = Intent;
+    for (std::size_t Index = 0; Index < Load.Hosts_; ++Index) {
+      Hosts_.push_back(newHost(Index));
+      setTargets(*Hosts_.back());
+    }
+  }
+
+  /// Restarts all hosts, without their state.
+  void restartHosts() {
+    for (std::size_t Index = 0; Index < Hosts_.size(); ++Index) {
+      // Requests from before the restart still end at the old hosts.
+      RetiredHosts_.push_back(std::move(Hosts_[Index]));
+      Hosts_[Index] = newHost(Index);
+      setTargets(*Hosts_[Index]);
+    }
+  }
+
+  /// Slows each \p Every'th target down by \p Factor.
+  void setSlow(std::size_t Every, double Factor) {
+    for (std::size_t Index = 0; Index < Targets_.size(); Index += Every)
+      Targets_[Index].Slowdown_ = Factor;
+  }
+
+  /// Replaces each \p Every'th target by another one that is cold for 3 s.
+  void replaceTargets(std::size_t Every) {
+    const std::size_t Count = Targets_.size();
+    for (std::size_t Index = 0; Index < Count; Index += Every) {
+      Targets_.emplace_back();
+      Known_[Index] = newTarget(Targets_.size() - 1);
+      Known_[Index].ColdUntil_ = Now_ + 3s;
+    }
+    for (auto &Host : Hosts_)
+      setTargets(*Host);
+  }
+
+  void setPerSecond(double PerSecond) { Load_.PerSecond_ = PerSecond; }
+
+  /// \returns what the callers of the next \p Seconds got.
+  SimulationResult run(double Seconds) {
+    Result_ = {};
+    const base::TimePoint End = Now_ + base::fromSeconds(Seconds);
+    base::TimePoint Next = Now_;
+    while (Next < End) {
+      runUntil(Next);
+      arrive();
+      Next += base::fromSeconds(-std::log(1 - base::drawUnit(Random_)) /
+                                Load_.PerSecond_);
+    }
+    runUntil(End + Load_.Deadline_ + 1s);
+    return Result_;
+  }
+
+private:
+  live::KnownTarget newTarget(std::size_t Number) const {
+    live::KnownTarget Result;
+    Result.Record_.Id_ = base::TargetId("t" + std::to_string(Number));
+    Result.Record_.Service_ = base::ServiceId("s");
+    Result.Record_.Zone_ = base::ZoneId("z");
+    Result.Record_.Slots_ = Load_.Slots_;
+    return Result;
+  }
+  std::unique_ptr<dispatch::DispatchSteering> newHost(std::size_t Number) {
+    auto Result = std::make_unique<dispatch::DispatchSteering>(
+        dispatch::DispatchSettings{
+            base::RegionId("r"), base::ZoneId("z"), {}, Number + 1},
+        dispatch::DispatchCallbacks{[this, Number](std::uint64_t Hash) {
+          return Hash % Load_.Hosts_ == Number || Load_.Hosts_ < 10;
+        }},
+        Now_);
+    Result->setIntent(Intent_, Now_);
+    return Result;
+  }
+  void setTargets(dispatch::DispatchSteering &Host) {
+    Host.setTargets(Known_, {{base::ZoneId("z"), base::RegionId("r")}}, Now_);
+  }
+
+  struct Request {
+    dispatch::DispatchSteering *Host_ = nullptr;
+    std::uint64_t Object_ = 0;
+    base::TimePoint Arrived_;
+    base::TimePoint Sent_;
+    Decision Decision_;
+    bool Ended_ = false;
+  };
+  using Shared = std::shared_ptr<Request>;
+  struct Target {
+    double Slowdown_ = 1;
+    std::uint32_t Running_ = 0;
+    std::deque<Shared> Waiting_;
+    std::deque<std::uint64_t> CachedObjects_;
+  };
+
+  void schedule(base::TimePoint Moment, std::function<void()> Action) {
+    Events_.emplace(Moment, std::move(Action));
+  }
+  void runUntil(base::TimePoint Moment) {
+    while (!Events_.empty() && Events_.begin()->first <= Moment) {
+      Now_ = Events_.begin()->first;
+      const auto Action = std::move(Events_.begin()->second);
+      Events_.erase(Events_.begin());
+      Action();
+    }
+    Now_ = Moment;
+  }
+
+  void arrive() {
+    ++Result_.Requests_;
+    auto Current = std::make_shared<Request>();
+    Current->Host_ = Hosts_[base::drawBelow(Random_, Hosts_.size())].get();
+    Current->Object_ = 1 + base::drawBelow(Random_, Load_.Objects_);
+    Current->Arrived_ = Now_;
+    steering::Request Incoming;
+    Incoming.Service_ = base::ServiceId("s");
+    Incoming.Rule_ = "rule";
+    Incoming.ArrivedAt_ = Now_;
+    Incoming.Deadline_ = Now_ + Load_.Deadline_;
+    Incoming.LatencyObjective_ = Load_.Objective_;
+    Incoming.MaxSends_ = 2;
+    Incoming.ObjectHash_ = Current->Object_ * 7919;
+    Current->Decision_ = Current->Host_->arrive(Incoming, Now_);
+    applyDecision(Current);
+  }
+
+  void applyDecision(const Shared &Current) {
+    if (Current->Decision_.Action_ != Decision::Action::Send) {
+      ++Result_.Refused_;
+      return;
+    }
+    Current->Sent_ = Now_;
+    const auto Index = std::stoul(Current->Decision_.Target_.name().substr(1));
+    Target &Server = Targets_[Index];
+    const bool Sheds = Index == 0 && base::drawUnit(Random_) < Load_.Refused_;
+    if (Sheds || Server.Waiting_.size() >= 3UL * Load_.Slots_) {
+      end(Current, SendOutcome::Shed, Server);
+      return;
+    }
+    schedule(Current->Arrived_ + Load_.Deadline_, [this, Current, &Server] { expire(Current, Server); });
+    Server.Waiting_.push_back(Current);
+    startRuns(Server);
+  }
+
+  void startRuns(Target &Server) {
+    while (Server.Running_ < Load_.Slots_ && !Server.Waiting_.empty()) {
+      const Shared Current = Server.Waiting_.front();
+      Server.Waiting_.pop_front();
+      if (Current->Ended_)
+        continue;
+      ++Server.Running_;
+      const double Spread = 0.85 + 0.3 * base::drawUnit(Random_);
+      const double Work =
+          (useObject(Server, Current->Object_) ? Load_.WarmSeconds_ : Load_.ColdSeconds_) * Server.Slowdown_;
+      schedule(Now_ + base::fromSeconds(Work * Spread), [this, Current, &Server] {
+        --Server.Running_;
+        if (Current->Ended_)
+          ++Result_.WastedRuns_;
+        else
+          end(Current, SendOutcome::Answered, Server);
+        startRuns(Server);
+      });
+    }
+  }
+
+  /// \returns whether the target was warm for the object.
+  bool useObject(Target &Server, std::uint64_t Object) {
+    const auto Found = std::find(Server.CachedObjects_.begin(), Server.CachedObjects_.end(), Object);
+    const bool Warm = Found != Server.CachedObjects_.end();
+    if (Warm)
+      Server.CachedObjects_.erase(Found);
+    Server.CachedObjects_.push_back(Object);
+    if (Server.CachedObjects_.size() > Load_.CachedObjects_)
+      Server.CachedObjects_.pop_front();
+    Result_.ColdRuns_ += Warm ? 0 : 1;
+    return Warm;
+  }
+
+  void expire(const Shared &Current, Target &Server) {
+    if (Current->Ended_)
+      return;
+    ++Result_.Late_;
+    end(Current, SendOutcome::Cancelled, Server);
+  }
+
+  void end(const Shared &Current, SendOutcome Outcome, const Target &Server) {
+    steering::SendReport Report;
+    Report.Outcome_ = Outcome;
+    Report.Status_ = Outcome == SendOutcome::Answered ? 200 : 503;
+    Report.Took_ = Now_ - Current->Sent_;
+    Report.Load_ = steering::TargetLoad{
+        Server.Running_, static_cast<std::uint32_t>(Server.Waiting_.size()),
+        Load_.Slots_};
+    std::vector<steering::Wakeup> Woken;
+    const Decision After =
+        Current->Host_->finish(Current->Decision_.Ticket_, Report, Now_, Woken);
+    if (Outcome == SendOutcome::Shed) {
+      Current->Decision_ = After;
+      applyDecision(Current);
+      return;
+    }
+    Current->Ended_ = true;
+    if (Outcome == SendOutcome::Answered)
+      ++(Now_ - Current->Arrived_ <= Load_.Objective_ ? Result_.InTime_
+                                                  : Result_.Late_);
+  }
+
+  SimulatedLoad Load_;
+  base::TimePoint Now_ = base::TimePoint(100s);
+  base::Random Random_;
+  std::shared_ptr<live::Intent> Intent_;
+  std::vector<live::KnownTarget> Known_;
+  std::vector<std::unique_ptr<dispatch::DispatchSteering>> Hosts_;
+  std::vector<std::unique_ptr<dispatch::DispatchSteering>> RetiredHosts_;
+  std::deque<Target> Targets_;
+  std::multimap<base::TimePoint, std::function<void()>> Events_;
+  SimulationResult Result_;
+};
+
+constexpr std::uint64_t Seeds = 5;
+
+} // namespace
+
+/// Loads of the kinds that deployments have, and what callers get.
+TEST_GROUP(DispatchSimulation){};
+
+// 48 objects, each requested every other second by one of four hosts, on six
+// targets that need two fifths of their slots for it once warm. A cold run
+// takes 3.3 times as long and is always late. After the first seconds nearly
+// all requests are answered in time.
+TEST(DispatchSimulation, objectsAreWarmAfterTheFirstSeconds) {
+  for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
+    DispatchSimulation Simulation(SimulatedLoad(), Seed);
+    Simulation.run(10);
+    const SimulationResult Result = Simulation.run(40);
+    CHECK(Result.inTimeShare() > 0.95);
+    CHECK(Result.ColdRuns_ < Result.Requests_ / 20);
+  }
+}
+
+// Long runs: each object is requested every third second, and a cold run takes
+// longer than callers' objective. An object that moved on after each cold run,
+// as if its target were slow, would never be answered in time.
+TEST(DispatchSimulation, objectsWithLongRunsStayWhereTheyAreWarm) {
+  SimulatedLoad Long;
+  Long.Targets_ = 12;
+  Long.Slots_ = 6;
+  Long.Objects_ = 72;
+  Long.PerSecond_ = 25;
+  Long.WarmSeconds_ = 1.06;
+  Long.ColdSeconds_ = 3.5;
+  Long.Objective_ = 2s;
+  Long.Deadline_ = 5s;
+  for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
+    DispatchSimulation Simulation(Long, Seed);
+    Simulation.run(20);
+    const SimulationResult Result = Simulation.run(40);
+    CHECK(Result.inTimeShare() > 0.9);
+    CHECK(Result.ColdRuns_ < Result.Requests_ / 10);
+  }
+}
+
+// Callers send twice what the targets can handle warm. A request that cannot be
+// answered in time is refused at once, and is not run cold elsewhere, where it
+// would take the time of three: of the half that the targets can handle, two
+// thirds are answered in time. If each waited as long as its deadline allows,
+// nearly all would be late.
+TEST(DispatchSimulation, anOverloadDoesNotReduceWhatTargetsComplete) {
+  SimulatedLoad Load;
+  constexpr double Twice = 2 * 6 * 3 / 0.35;
+  for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
+    DispatchSimulation Simulation(Load, Seed);
+    Simulation.run(10);
+    Simulation.setPerSecond(Twice);
+    const SimulationResult Result = Simulation.run(20);
+    CHECK(Result.InTime_ + Result.Late_ > Result.Requests_ * 0.35);
+    CHECK(Result.inTimeShare() > 0.33);
+    CHECK(Result.WastedRuns_ < Result.Requests_ / 20);
+  }
+}
+
+// The load quadruples for three seconds and falls back. Some seconds later it
+// has no effect any more: no queue, no object away from its target.
+TEST(DispatchSimulation, aBurstHasNoLastingEffect) {
+  for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
+    DispatchSimulation Simulation(SimulatedLoad(), Seed);
+    Simulation.run(10);
+    Simulation.setPerSecond(80);
+    Simulation.run(3);
+    Simulation.setPerSecond(20);
+    Simulation.run(2);
+    CHECK(Simulation.run(20).inTimeShare() > 0.95);
+  }
+}
+
+// One of six targets refuses two of five requests although it has slots free.
+// Each is sent to its object's second target at once; nearly all callers still
+// get an answer in time.
+TEST(DispatchSimulation, aTargetThatRefusesSomeCostsCallersLittle) {
+  SimulatedLoad Refusing;
+  Refusing.Refused_ = 0.4;
+  for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
+    DispatchSimulation Simulation(Refusing, Seed);
+    Simulation.run(15);
+    CHECK(Simulation.run(40).inTimeShare() > 0.9);
+  }
+}
+
+/// A third of a large deployment: each host receives a report of a target every
+/// third second, and runs take half a second warm.
+TEST_GROUP(LargeDispatchSimulation){static SimulatedLoad large(){SimulatedLoad Result;
+Result.Hosts_ = 21;
+Result.Targets_ = 93;
+Result.Slots_ = 9;
+Result.Objects_ = 350;
+Result.PerSecond_ = 700;
+Result.CachedObjects_ = 18;
+Result.WarmSeconds_ = 0.55;
+Result.ColdSeconds_ = 1.84;
+Result.Objective_ = 1100ms;
+Result.Deadline_ = 3s;
+return Result;
+}
+}
+;
+
+// Guards against hosts that count targets without a recent report as idle: at
+// nine tenths of what the targets can handle, requests would wait in vain at
+// the full ones.
+TEST(LargeDispatchSimulation, nearlyFullTargetsAnswerMostInTime) {
+  for (std::uint64_t Seed = 1; Seed <= 2; ++Seed) {
+    DispatchSimulation Simulation(large(), Seed);
+    Simulation.run(10);
+    Simulation.setPerSecond(1400);
+    CHECK(Simulation.run(6).inTimeShare() > 0.65);
+  }
+}
+
+// Guards against hosts that go on refusing because they send nothing by which
+// they would learn that the targets are idle again.
+TEST(LargeDispatchSimulation, afterAnOverloadTheTargetsAreUsedAgain) {
+  for (std::uint64_t Seed = 1; Seed <= 2; ++Seed) {
+    DispatchSimulation Simulation(large(), Seed);
+    Simulation.run(10);
+    Simulation.setPerSecond(2200);
+    Simulation.run(6);
+    Simulation.setPerSecond(700);
+    CHECK(Simulation.run(4).inTimeShare() > 0.5);
+    CHECK(Simulation.run(6).inTimeShare() > 0.95);
+  }
+}
+
+// Guards against objects that run cold at whichever target each host finds
+// fast, while the replacement of their target is cold. Allowed are a cold run
+// at one other target and at the replacement, and a tenth more for random
+// variation.
+TEST(LargeDispatchSimulation, objectsOfReplacedTargetsRunColdTwiceAtMost) {
+  constexpr std::size_t Every = 4;
+  for (std::uint64_t Seed = 1; Seed <= 2; ++Seed) {
+    DispatchSimulation Simulation(large(), Seed);
+    Simulation.run(10);
+    Simulation.replaceTargets(Every);
+    const double Moved = double(large().Objects_) / Every;
+    CHECK(Simulation.run(4).ColdRuns_ <= 2 * Moved * 1.1);
+  }
+}
--- a/tests/dispatch/DispatchSteeringTest.cpp
+++ b/tests/dispatch/DispatchSteeringTest.cpp
@@ -17,10 +17,10 @@
 
 TEST_GROUP(DispatchSteering) {
   base::TimePoint Now_ = base::TimePoint(100s);
-  bool Picked_ = true;
+  bool IsElected_ = true;
   dispatch::DispatchSteering Steering_{
       {base::RegionId("north"), base::ZoneId("north-a"), {}, 1},
-      {[this](std::uint64_t) { return Picked_; }},
+      {[this](std::uint64_t) { return IsElected_; }},
       base::TimePoint(100s)};
   std::vector<live::KnownTarget> Targets_;
   std::vector<lychee::steering::Wakeup> Woken_;
@@ -34,37 +34,37 @@
     Rule.ColdTime_ = 3s;
     Intent->Services_.emplace(Rule.Id_, Rule);
     Steering_.setIntent(Intent, Now_);
-    for (int Each = 1; Each <= 4; ++Each)
-      addTarget("t" + std::to_string(Each));
-    push();
+    for (int Index = 1; Index <= 4; ++Index)
+      addTarget("t" + std::to_string(Index));
+    applyTargets();
   }
   void addTarget(const std::string &Name) {
-    live::KnownTarget Made;
-    Made.Record_.Id_ = base::TargetId(Name);
-    Made.Record_.Service_ = base::ServiceId("portal");
-    Made.Record_.Address_ = "127.0.0.1:" + std::to_string(Targets_.size() + 80);
-    Made.Record_.Zone_ = base::ZoneId("north-a");
-    Made.Record_.Slots_ = 3;
-    Made.Record_.Started_ = 1;
-    Targets_.push_back(Made);
+    live::KnownTarget Result;
+    Result.Record_.Id_ = base::TargetId(Name);
+    Result.Record_.Service_ = base::ServiceId("portal");
+    Result.Record_.Address_ = "127.0.0.1:" + std::to_string(Targets_.size() + 80);
+    Result.Record_.Zone_ = base::ZoneId("north-a");
+    Result.Record_.Slots_ = 3;
+    Result.Record_.Started_ = 1;
+    Targets_.push_back(Result);
   }
-  void push() {
+  void applyTargets() {
     Steering_.setTargets(
         Targets_, {{base::ZoneId("north-a"), base::RegionId("north")}}, Now_);
   }
   Request requestOf(bool Idempotent, std::uint32_t MaximumSends = 2) const {
-    Request Made;
-    Made.Id_ = base::RequestId("r1");
-    Made.Service_ = base::ServiceId("portal");
-    Made.Rule_ = "rule";
-    Made.Deadline_ = Now_ + 800ms;
-    Made.Idempotent_ = Idempotent;
-    Made.MaxSends_ = MaximumSends;
-    Made.ObjectHash_ = 42;
-    Made.Fingerprint_ = 7;
-    return Made;
+    Request Result;
+    Result.Id_ = base::RequestId("r1");
+    Result.Service_ = base::ServiceId("portal");
+    Result.Rule_ = "rule";
+    Result.Deadline_ = Now_ + 800ms;
+    Result.Idempotent_ = Idempotent;
+    Result.MaxSends_ = MaximumSends;
+    Result.ObjectHash_ = 42;
+    Result.Fingerprint_ = 7;
+    return Result;
   }
-  Decision arrive(const Request &Made) { return Steering_.arrive(Made, Now_); }
+  Decision arrive(const Request &Incoming) { return Steering_.arrive(Incoming, Now_); }
   Decision finish(const Decision &Sent, SendOutcome End, int Status = 0,
                   bool Silent = false) {
     SendReport Report;
@@ -77,9 +77,9 @@
 };
 
 // A booking is sent, and its connection ends without an answer. It may have
-// run: sent again it could run twice, and refused with "not run" the caller
-// would send it again itself.
-TEST(DispatchSteering, aLostBookingIsNotSentAgainAndMayHaveRun) {
+// run: a retry could run it twice, and a refusal that states "not run" would
+// make the caller send it again.
+TEST(DispatchSteering, aLostBookingIsNotRetriedAndMayHaveRun) {
   const Decision Sent = arrive(requestOf(false));
   CHECK(Sent.Action_ == Decision::Action::Send);
   const Decision After = finish(Sent, SendOutcome::LostBeforeResponse);
@@ -95,8 +95,8 @@
   CHECK(After.Target_ != Sent.Target_);
 }
 
-// The booking was shed, sent again, and lost. What the first target said does
-// not hold for the second.
+// The booking was shed, sent again, and lost. The first target's statement that
+// it did not run does not hold for the second.
 TEST(DispatchSteering, aBookingShedAndThenLostMayHaveRun) {
   const Decision First = arrive(requestOf(false, 3));
   const Decision Second = finish(First, SendOutcome::Shed, 503);
@@ -104,7 +104,7 @@
 }
 
 // A look-up was lost, sent again and shed everywhere. The first target may have
-// run it; "503, not run" would be a lie.
+// run it, so a refusal that states "not run" would be wrong.
 TEST(DispatchSteering, aLookupLostAndThenShedMayHaveRun) {
   const Decision First = arrive(requestOf(true));
   const Decision Second = finish(First, SendOutcome::LostBeforeResponse);
@@ -115,23 +115,23 @@
 }
 
 TEST(DispatchSteering, noRequestGoesToMoreTargetsThanItsRuleAllows) {
-  Decision Made = arrive(requestOf(true, 2));
+  Decision Result = arrive(requestOf(true, 2));
   int Sends = 0;
-  while (Made.Action_ == Decision::Action::Send) {
+  while (Result.Action_ == Decision::Action::Send) {
     ++Sends;
-    Made = finish(Made, SendOutcome::Shed, 503);
+    Result = finish(Result, SendOutcome::Shed, 503);
   }
   LONGS_EQUAL(2, Sends);
 }
 
-TEST(DispatchSteering, aFailedConnectIsNoSend) {
+TEST(DispatchSteering, aFailedConnectDoesNotCountAsASend) {
   const Decision First = arrive(requestOf(false, 1));
   const Decision Second = finish(First, SendOutcome::ConnectFailed);
   CHECK(Second.Action_ == Decision::Action::Send);
   CHECK(Second.Target_ != First.Target_);
 }
 
-TEST(DispatchSteering, aFailureOfTheTargetsOwnIsTriedElsewhereWhereItMayBe) {
+TEST(DispatchSteering, aServerErrorIsRetriedElsewhereIfIdempotent) {
   const Decision Lookup = arrive(requestOf(true));
   CHECK(finish(Lookup, SendOutcome::Answered, 500).Action_ ==
         Decision::Action::Send);
@@ -140,21 +140,22 @@
         Decision::Action::Send);
 }
 
-// What no target can do in time is refused at once, and the caller is told when
-// to come back; held, it would take the place of what can be done.
-TEST(DispatchSteering, whatCannotBeDoneInTimeIsRefusedAtOnce) {
+// A request that no target can answer in time is refused at once, with a time
+// to retry after; held, it would take a slot from one that can be answered.
+TEST(DispatchSteering, aRequestThatCannotMeetItsDeadlineIsRefusedAtOnce) {
   Request Late = requestOf(true);
   Late.Deadline_ = Now_ + 20ms;
-  const Decision Made = arrive(Late);
-  CHECK(Made.Action_ == Decision::Action::Refuse);
-  CHECK(Made.Refusal_ == Refusal::NoHeadroom);
-  CHECK(Made.Ran_ == Ran::No);
-  CHECK(Made.RetryAfter_ > base::Duration::zero());
+  const Decision Result = arrive(Late);
+  CHECK(Result.Action_ == Decision::Action::Refuse);
+  CHECK(Result.Refusal_ == Refusal::NoHeadroom);
+  CHECK(Result.Ran_ == Ran::No);
+  CHECK(Result.RetryAfter_ > base::Duration::zero());
 }
 
-// A target is silent past its time while no other target can answer before the
-// deadline. Ended then, the request would be lost although its target works.
-TEST(DispatchSteering, aSilentTargetIsLeftOnlyForOneThatCanStillAnswer) {
+// A target is silent past its response timeout while no other target can answer
+// before the deadline. Abandoned then, the request would be lost although its
+// target works on it.
+TEST(DispatchSteering, aSilentTargetIsAbandonedOnlyForOneThatCanStillAnswer) {
   const Decision Sent = arrive(requestOf(true));
   CHECK(Sent.ResponseDeadline_ < Now_ + 800ms);
   CHECK(Steering_.mayAbandonSend(Sent.Ticket_, Now_ + 400ms));
@@ -163,53 +164,53 @@
 }
 
 // A look-up runs cold at its target, which takes 3.3 times as long as a warm
-// run and is no silence. Given up, its work would be lost and done once more.
-TEST(DispatchSteering, aColdRunIsWaitedFor) {
-  const dispatch::WorkTimes Unseen;
+// run and is no failure. Abandoned, its work would be lost and done once more.
+TEST(DispatchSteering, theResponseTimeoutAllowsForAColdRun) {
+  const dispatch::ExecutionTimes Unseen;
   const Decision Sent = arrive(requestOf(true));
   CHECK(Sent.ResponseDeadline_ >
         Now_ + base::fromSeconds(Unseen.coldSeconds() * 1.2));
 }
 
-TEST(DispatchSteering, aBookingIsWaitedForUntilItsDeadline) {
+TEST(DispatchSteering, aBookingHasNoResponseTimeout) {
   CHECK(arrive(requestOf(false)).ResponseDeadline_ == base::TimePoint::max());
 }
 
-// A look-up runs for seconds on a kept connection that shows no sign of life,
-// and its target says in the meantime that it leaves. Sent once more it would
-// reach the target after the last moment for new work.
-TEST(DispatchSteering, nothingIsRepeatedAtATargetThatLeaves) {
+// A look-up runs for seconds on a kept-alive connection without any data, and
+// its target announces meanwhile that it leaves. Sent once more, it would reach
+// the target after the last moment for new work.
+TEST(DispatchSteering, noHedgeGoesToATargetThatLeaves) {
   const Decision Sent = arrive(requestOf(true));
   CHECK(Steering_.mayHedge(Sent.Ticket_, Now_));
-  for (live::KnownTarget &Each : Targets_)
-    Each.Record_.Leaving_ = true;
-  push();
+  for (live::KnownTarget &Target : Targets_)
+    Target.Record_.Leaving_ = true;
+  applyTargets();
   CHECK_FALSE(Steering_.mayHedge(Sent.Ticket_, Now_));
-  for (live::KnownTarget &Each : Targets_)
-    Each.Record_.Leaving_ = false;
-  push();
+  for (live::KnownTarget &Target : Targets_)
+    Target.Record_.Leaving_ = false;
+  applyTargets();
   Steering_.setEvacuated({base::ZoneId("north-a")}, Now_);
   CHECK_FALSE(Steering_.mayHedge(Sent.Ticket_, Now_));
 }
 
-// Repeats count among the second sends that all hosts together may make.
-TEST(DispatchSteering, repeatsAreInTheBudgetOfSecondSends) {
+// Hedges count in the budget that all hosts share.
+TEST(DispatchSteering, hedgesCountInTheRetryBudget) {
   const Decision Sent = arrive(requestOf(true));
-  int Repeats = 0;
+  int Hedges = 0;
   while (Steering_.mayHedge(Sent.Ticket_, Now_))
-    ++Repeats;
-  CHECK(Repeats >= 1);
-  CHECK(Repeats <= live::DeploymentBounds().RetrySlack_);
+    ++Hedges;
+  CHECK(Hedges >= 1);
+  CHECK(Hedges <= live::DeploymentBounds().RetrySlack_);
 }
 
-// A request crashes two targets: each takes no connection right after it was
+// A request crashes two targets: each accepts no connection right after it was
 // lost. The request is refused from then on. One that only lost its answers is
-// not: answers get lost on the way.
+// not refused, since answers get lost on the way.
 TEST(DispatchSteering, aRequestThatCrashesTargetsIsRefused) {
   for (const char *Name : {"t1", "t2"}) {
     Targets_.clear();
     addTarget(Name);
-    push();
+    applyTargets();
     finish(arrive(requestOf(false)), SendOutcome::LostBeforeResponse);
     Request Other = requestOf(false);
     Other.Fingerprint_ = 99;
@@ -217,55 +218,55 @@
     finish(arrive(Other), SendOutcome::ConnectFailed);
   }
   CHECK(arrive(requestOf(false)).Refusal_ == Refusal::CrashSuspect);
-  Request Innocent = requestOf(false);
-  Innocent.Fingerprint_ = 99;
-  CHECK(arrive(Innocent).Refusal_ != Refusal::CrashSuspect);
+  Request Unrelated = requestOf(false);
+  Unrelated.Fingerprint_ = 99;
+  CHECK(arrive(Unrelated).Refusal_ != Refusal::CrashSuspect);
 }
 
-TEST(DispatchSteering, anotherTargetAtTheAddressIsNotSentToAgain) {
+TEST(DispatchSteering, aReusedAddressIsNotSentToAgain) {
   const Decision Sent = arrive(requestOf(true));
   SendReport Report;
   Report.Outcome_ = SendOutcome::Shed;
   Report.Status_ = 421;
   Report.WrongTarget_ = true;
   Steering_.finish(Sent.Ticket_, Report, Now_, Woken_);
-  for (int Each = 0; Each < 20; ++Each)
+  for (int Index = 0; Index < 20; ++Index)
     CHECK(arrive(requestOf(true)).Target_ != Sent.Target_);
 }
 
-// A zone is evacuated and taken back. Its targets had nothing to do and are
-// cold, which their entries may not say yet.
-TEST(DispatchSteering, aZoneTakenBackCountsAsCold) {
+// An availability zone is evacuated and restored. Its targets had no work and
+// are cold, which their entries may not show yet.
+TEST(DispatchSteering, aRestoredZoneCountsAsCold) {
   Steering_.setEvacuated({base::ZoneId("north-a")}, Now_);
   CHECK(arrive(requestOf(true)).Action_ == Decision::Action::Refuse);
   Steering_.setEvacuated({}, Now_);
-  Picked_ = false;
+  IsElected_ = false;
   CHECK(arrive(requestOf(true)).Action_ == Decision::Action::Refuse);
-  Picked_ = true;
+  IsElected_ = true;
   CHECK(arrive(requestOf(true)).Action_ == Decision::Action::Send);
 }
 
-// A target starts again under its old name, at its old address. What was known
-// of its earlier start says nothing about it.
-TEST(DispatchSteering, aNewStartIsATargetOfItsOwn) {
+// A target starts again under its old name, at its old address. What is known
+// of its earlier start does not apply to it.
+TEST(DispatchSteering, aRestartedTargetHasAStateOfItsOwn) {
   const Decision Sent = arrive(requestOf(true));
   finish(Sent, SendOutcome::ConnectFailed);
-  for (live::KnownTarget &Each : Targets_)
-    Each.Record_.Started_ = 2;
-  push();
+  for (live::KnownTarget &Target : Targets_)
+    Target.Record_.Started_ = 2;
+  applyTargets();
   CHECK(arrive(requestOf(true)).Target_ == Sent.Target_);
 }
 
-/// A host whose region has another one that keeps the customer's tokens, and a
-/// third that takes its place.
+/// A host whose region has another one that owns the customer's tokens, and a
+/// third that is the backup owner.
 TEST_GROUP(DispatchTokens) {
   base::TimePoint Now_ = base::TimePoint(100s);
-  std::vector<std::string> Asked_;
+  std::vector<std::string> RequestedFrom_;
   dispatch::DispatchSteering Steering_{
       {base::RegionId("north"), base::ZoneId("north-a"), {}, 1},
       {[](std::uint64_t) { return true; },
-       [this](const std::string &Holder, std::uint64_t,
-              const base::CustomerId &) { Asked_.push_back(Holder); }},
+       [this](const std::string &Owner, std::uint64_t,
+              const base::CustomerId &) { RequestedFrom_.push_back(Owner); }},
       base::TimePoint(100s)};
   std::vector<lychee::steering::Wakeup> Woken_;
 
@@ -290,41 +291,41 @@
                          Now_);
     dispatch::FleetDemand Fleet;
     Fleet.Self_.Region_ = base::RegionId("north");
-    Fleet.Serving_ = false;
+    Fleet.IsServing_ = false;
     for (const char *Name : {"one", "two"}) {
       lychee::members::HostView View;
       View.Descriptor_.Host_ = base::HostId(Name);
       View.Descriptor_.Region_ = base::RegionId("north");
       View.Descriptor_.Address_ = Name;
       View.Alive_ = View.Ready_ = View.HoldsShare_ = true;
-      Fleet.Others_.push_back(View);
+      Fleet.OtherHosts_.push_back(View);
     }
     Steering_.updateFleetDemand(Fleet, Now_);
   }
   Decision arrive() {
-    Request Made;
-    Made.Service_ = base::ServiceId("portal");
-    Made.Rule_ = "rule";
-    Made.Customer_ = base::CustomerId("parish");
-    Made.Deadline_ = Now_ + 800ms;
-    Made.ObjectHash_ = 42;
-    return Steering_.arrive(Made, Now_);
+    Request Result;
+    Result.Service_ = base::ServiceId("portal");
+    Result.Rule_ = "rule";
+    Result.Customer_ = base::CustomerId("parish");
+    Result.Deadline_ = Now_ + 800ms;
+    Result.ObjectHash_ = 42;
+    return Steering_.arrive(Result, Now_);
   }
 };
 
 TEST(DispatchTokens, aRequestWithATokenIsSent) {
-  const Decision Waits = arrive();
-  CHECK(Waits.Action_ == Decision::Action::Wait);
-  LONGS_EQUAL(1, Asked_.size());
-  Steering_.handleTokenResponse(Waits.Ticket_, std::nullopt, Now_, Woken_);
+  const Decision Pending = arrive();
+  CHECK(Pending.Action_ == Decision::Action::Wait);
+  LONGS_EQUAL(1, RequestedFrom_.size());
+  Steering_.handleTokenResponse(Pending.Ticket_, std::nullopt, Now_, Woken_);
   LONGS_EQUAL(1, Woken_.size());
-  CHECK(Woken_[0].Ticket_ == Waits.Ticket_);
+  CHECK(Woken_[0].Ticket_ == Pending.Ticket_);
   CHECK(Woken_[0].Decision_.Action_ == Decision::Action::Send);
 }
 
-TEST(DispatchTokens, aRequestWithoutATokenIsRefusedAndToldWhen) {
-  const Decision Waits = arrive();
-  Steering_.handleTokenResponse(Waits.Ticket_, base::Duration(700ms), Now_,
+TEST(DispatchTokens, aRequestWithoutATokenIsRefusedWithATimeToRetry) {
+  const Decision Pending = arrive();
+  Steering_.handleTokenResponse(Pending.Ticket_, base::Duration(700ms), Now_,
                                 Woken_);
   LONGS_EQUAL(1, Woken_.size());
   CHECK(Woken_[0].Decision_.Refusal_ == Refusal::RateLimited);
@@ -332,55 +333,55 @@
   CHECK(Woken_[0].Decision_.RetryAfter_ == base::Duration(700ms));
 }
 
-// The keeper has just died. The request waits for it, then for the next in
-// line, and is answered after that, whatever comes late.
-TEST(DispatchTokens, aKeeperThatDoesNotAnswerHoldsNothingUp) {
-  const Decision Waits = arrive();
-  Now_ += dispatch::DispatchSteering::TokenPatience;
+// The owner has just died. The request waits for it, then for the backup owner,
+// and is decided after that; a late response has no effect.
+TEST(DispatchTokens, aSilentOwnerDelaysARequestByItsTimeoutOnly) {
+  const Decision Pending = arrive();
+  Now_ += dispatch::DispatchSteering::TokenTimeout;
   Steering_.tick(Now_, Woken_);
   CHECK(Woken_.empty());
-  LONGS_EQUAL(2, Asked_.size());
-  CHECK(Asked_[0] != Asked_[1]);
-  Now_ += dispatch::DispatchSteering::TokenPatience;
+  LONGS_EQUAL(2, RequestedFrom_.size());
+  CHECK(RequestedFrom_[0] != RequestedFrom_[1]);
+  Now_ += dispatch::DispatchSteering::TokenTimeout;
   Steering_.tick(Now_, Woken_);
   LONGS_EQUAL(1, Woken_.size());
   CHECK(Woken_[0].Decision_.Action_ != Decision::Action::Wait);
-  Steering_.handleTokenResponse(Waits.Ticket_, std::nullopt, Now_, Woken_);
+  Steering_.handleTokenResponse(Pending.Ticket_, std::nullopt, Now_, Woken_);
   LONGS_EQUAL(1, Woken_.size());
 }
 
-// The caller hangs up while its request waits. The token that comes is lost,
-// and nothing is sent for nobody.
-TEST(DispatchTokens, aCallerThatLeftGetsNothingSent) {
-  const Decision Waits = arrive();
-  Steering_.cancel(Waits.Ticket_, Now_);
-  Steering_.handleTokenResponse(Waits.Ticket_, std::nullopt, Now_, Woken_);
+// The caller hangs up while its request waits. The token that arrives is lost,
+// and nothing is sent.
+TEST(DispatchTokens, aCancelledRequestIsNotSent) {
+  const Decision Pending = arrive();
+  Steering_.cancel(Pending.Ticket_, Now_);
+  Steering_.handleTokenResponse(Pending.Ticket_, std::nullopt, Now_, Woken_);
   Steering_.tick(Now_ + 1s, Woken_);
   CHECK(Woken_.empty());
 }
 
-// The keeper waits for its processor, and the host that is asked in its place
-// has given the few tokens that it may. The caller is within its rate, so the
-// keeper's word is waited for as long as it would be without the other's.
-TEST(DispatchTokens, aRefusalInTheKeepersPlaceIsNotTheLastWord) {
-  const Decision Waits = arrive();
-  Now_ += dispatch::DispatchSteering::TokenPatience;
+// The owner waits for its processor, and the backup owner has granted the few
+// tokens that it may. The caller is within its rate, so the owner's response is
+// awaited for the full time in spite of the denial.
+TEST(DispatchTokens, aDenialByTheBackupOwnerIsNotFinal) {
+  const Decision Pending = arrive();
+  Now_ += dispatch::DispatchSteering::TokenTimeout;
   Steering_.tick(Now_, Woken_);
-  Steering_.handleTokenResponse(Waits.Ticket_, base::Duration(700ms), Now_,
+  Steering_.handleTokenResponse(Pending.Ticket_, base::Duration(700ms), Now_,
                                 Woken_);
   CHECK(Woken_.empty());
-  Steering_.handleTokenResponse(Waits.Ticket_, std::nullopt, Now_, Woken_);
+  Steering_.handleTokenResponse(Pending.Ticket_, std::nullopt, Now_, Woken_);
   LONGS_EQUAL(1, Woken_.size());
   CHECK(Woken_[0].Decision_.Action_ == Decision::Action::Send);
 }
 
-// The same, and the keeper is dead. What the other said stands.
-TEST(DispatchTokens, aRefusalStandsWhereTheKeeperStaysSilent) {
+// The same, but the owner is dead. The backup owner's denial holds.
+TEST(DispatchTokens, aDenialByTheBackupOwnerHoldsIfTheOwnerStaysSilent) {
   arrive();
-  Now_ += dispatch::DispatchSteering::TokenPatience;
+  Now_ += dispatch::DispatchSteering::TokenTimeout;
   Steering_.tick(Now_, Woken_);
   Steering_.handleTokenResponse(1, base::Duration(700ms), Now_, Woken_);
-  Now_ += dispatch::DispatchSteering::TokenPatience;
+  Now_ += dispatch::DispatchSteering::TokenTimeout;
   Steering_.tick(Now_, Woken_);
   LONGS_EQUAL(1, Woken_.size());
   CHECK(Woken_[0].Decision_.Refusal_ == Refusal::RateLimited);
--- a/tests/dispatch/RegionSplitTest.cpp
+++ b/tests/dispatch/RegionSplitTest.cpp
@@ -16,123 +16,125 @@
 } // namespace
 
 TEST_GROUP(RegionSplit) {
-  RegionSplit Split_{Small};
+  RegionSplit RegionSplit_{Small};
   base::TimePoint Now_ = base::TimePoint(100s);
   std::map<base::RegionId, RegionLoad> Loads_ = {
       {Small, {12, 0}}, {Large, {42, 0}}, {Third, {36, 0}}};
 
-  void pass(base::Duration Time) {
+  void advance(base::Duration Time) {
     for (base::Duration Spent{}; Spent < Time; Spent += 250ms) {
       Now_ += 250ms;
-      Split_.update(Loads_, Now_);
+      RegionSplit_.update(Loads_, Now_);
     }
   }
-  double partIn(const base::RegionId &Region, std::uint64_t BodyBytes = 0,
+  double shareIn(const base::RegionId &Region, std::uint64_t BodyBytes = 0,
                 const std::vector<base::RegionId> *Homes = nullptr) const {
     int Hits = 0;
     for (std::uint64_t Object = 1; Object <= 4000; ++Object)
-      Hits += Split_.regionFor(Object * 7919, BodyBytes, Homes) == Region;
+      Hits += RegionSplit_.regionFor(Object * 7919, BodyBytes, Homes) == Region;
     return Hits / 4000.0;
   }
 };
 
 // A region with a third of the callers has a seventh of the slots. Kept there,
-// its requests wait while other regions have room.
-TEST(RegionSplit, whatARegionHasNoSlotsForLeaves) {
+// its requests would wait while other regions have free slots.
+TEST(RegionSplit, requestsWithoutSlotsLeaveTheRegion) {
   Loads_[Small].Demand_ = 14.4;
   Loads_[Large].Demand_ = 12;
   Loads_[Third].Demand_ = 12;
-  pass(30s);
-  DOUBLES_EQUAL(0.5, Split_.leaving(), 0.01);
-  DOUBLES_EQUAL(0.5, partIn(Small), 0.03);
+  advance(30s);
+  DOUBLES_EQUAL(0.5, RegionSplit_.spilloverShare(), 0.01);
+  DOUBLES_EQUAL(0.5, shareIn(Small), 0.03);
 }
 
-// The first answers teach that requests run three times as long as was guessed.
-// What bound requests leave of the slots seems to shrink at once, though no
-// slot came or went: the part that leaves still moves at its slow pace.
-TEST(RegionSplit, boundRequestsThatSeemLongerMoveNothingFast) {
+// The first answers show that requests run three times as long as was assumed.
+// The slots that bound requests leave free seem to shrink at once, although no
+// slot was added or removed: the share that leaves still changes at its slow
+// pace.
+TEST(RegionSplit, longerBoundRequestsDoNotCauseAFastChange) {
   Loads_[Small].Demand_ = 5;
-  pass(5s);
-  DOUBLES_EQUAL(0, Split_.leaving(), 0.001);
+  advance(5s);
+  DOUBLES_EQUAL(0, RegionSplit_.spilloverShare(), 0.001);
   for (auto &[Region, Load] : Loads_)
-    Load.Bound_ = 8;
+    Load.BoundDemand_ = 8;
   Loads_[Small].Demand_ = 15;
-  const double Before = partIn(Small);
-  pass(2s);
-  CHECK(Before - partIn(Small) < 0.1);
+  const double Before = shareIn(Small);
+  advance(2s);
+  CHECK(Before - shareIn(Small) < 0.1);
 }
 
-TEST(RegionSplit, aRegionWithRoomKeepsAll) {
+TEST(RegionSplit, aRegionWithFreeSlotsKeepsAllRequests) {
   Loads_[Small].Demand_ = 5;
   Loads_[Large].Demand_ = 5;
-  pass(30s);
-  DOUBLES_EQUAL(1, partIn(Small), 0);
+  advance(30s);
+  DOUBLES_EQUAL(1, shareIn(Small), 0);
 }
 
-TEST(RegionSplit, beforeAnyDemandCallersAreTakenToBeEven) {
-  Split_.update(Loads_, Now_);
-  DOUBLES_EQUAL(0.6, Split_.leaving(), 0.001);
+TEST(RegionSplit, withoutDemandCallersAreAssumedToBeSpreadEvenly) {
+  RegionSplit_.update(Loads_, Now_);
+  DOUBLES_EQUAL(0.6, RegionSplit_.spilloverShare(), 0.001);
 }
 
-// Demand of the region doubles at once. Moved at once, a third of its requests
-// would change region within 2 s, and land on targets that are cold for them.
-TEST(RegionSplit, thePartMovesSlowly) {
+// The region's demand more than doubles at once. If the share followed at once,
+// a third of its requests would change region within 2 s, and reach targets
+// that are cold for them.
+TEST(RegionSplit, theShareChangesSlowly) {
   Loads_[Small].Demand_ = 6;
   Loads_[Large].Demand_ = 6;
-  pass(30s);
+  advance(30s);
   Loads_[Small].Demand_ = 14;
-  const double Before = Split_.leaving();
-  pass(2s);
-  CHECK(Split_.leaving() - Before <= 2 * RegionSplit::Pace + 0.001);
-  CHECK(Split_.leaving() > Before);
+  const double Before = RegionSplit_.spilloverShare();
+  advance(2s);
+  CHECK(RegionSplit_.spilloverShare() - Before <= 2 * RegionSplit::MaxChangePerSecond + 0.001);
+  CHECK(RegionSplit_.spilloverShare() > Before);
 }
 
-TEST(RegionSplit, afterALossOfSlotsItMovesFast) {
+TEST(RegionSplit, afterALossOfSlotsItChangesFast) {
   Loads_[Small].Demand_ = 6;
   Loads_[Large].Demand_ = 6;
-  pass(30s);
+  advance(30s);
   Loads_[Small].Slots_ = 1;
-  pass(2s);
-  CHECK(Split_.leaving() > 0.5);
+  advance(2s);
+  CHECK(RegionSplit_.spilloverShare() > 0.5);
 }
 
-// As the part moves, objects that are warm somewhere must stay there.
+// As the share changes, objects that are warm somewhere must stay there.
 TEST(RegionSplit, objectsChangeRegionOneByOne) {
   Loads_[Small].Demand_ = 9;
   Loads_[Large].Demand_ = 9;
-  pass(30s);
+  advance(30s);
   std::vector<base::RegionId> Before;
   for (std::uint64_t Object = 1; Object <= 1000; ++Object)
-    Before.push_back(Split_.regionFor(Object * 7919, 0, nullptr));
-  const double Old = Split_.leaving();
+    Before.push_back(RegionSplit_.regionFor(Object * 7919, 0, nullptr));
+  const double Old = RegionSplit_.spilloverShare();
   Loads_[Small].Demand_ = 10;
-  pass(30s);
+  advance(30s);
   int Moved = 0;
   for (std::uint64_t Object = 1; Object <= 1000; ++Object)
-    Moved += Split_.regionFor(Object * 7919, 0, nullptr) != Before[Object - 1];
-  CHECK(Moved <= (Split_.leaving() - Old) * 1000 * 1.5 + 20);
+    Moved += RegionSplit_.regionFor(Object * 7919, 0, nullptr) != Before[Object - 1];
+  CHECK(Moved <= (RegionSplit_.spilloverShare() - Old) * 1000 * 1.5 + 20);
 }
 
-TEST(RegionSplit, longBodiesAreTheLastToLeave) {
+TEST(RegionSplit, largeBodiesAreTheLastToLeave) {
   Loads_[Small].Demand_ = 14.4;
   Loads_[Large].Demand_ = 12;
-  pass(30s);
-  CHECK(partIn(Small, 60'000) > partIn(Small) + 0.15);
+  advance(30s);
+  CHECK(shareIn(Small, 60'000) > shareIn(Small) + 0.15);
 }
 
-TEST(RegionSplit, homesBind) {
+TEST(RegionSplit, homeRegionsBind) {
   Loads_[Small].Demand_ = 14.4;
   Loads_[Large].Demand_ = 12;
-  pass(30s);
+  advance(30s);
   const std::vector<base::RegionId> OnlyThird{Third};
   const std::vector<base::RegionId> OnlySmall{Small};
-  DOUBLES_EQUAL(1, partIn(Third, 0, &OnlyThird), 0);
-  DOUBLES_EQUAL(1, partIn(Small, 0, &OnlySmall), 0);
+  DOUBLES_EQUAL(1, shareIn(Third, 0, &OnlyThird), 0);
+  DOUBLES_EQUAL(1, shareIn(Small, 0, &OnlySmall), 0);
 }
 
-TEST(RegionSplit, withoutRoomAnywhereAllStay) {
+TEST(RegionSplit, withoutFreeSlotsAnywhereAllStay) {
   for (auto &[Region, Load] : Loads_)
     Load.Demand_ = Load.Slots_ * 2;
-  pass(60s);
-  DOUBLES_EQUAL(0, Split_.leaving(), 0.001);
+  advance(60s);
+  DOUBLES_EQUAL(0, RegionSplit_.spilloverShare(), 0.001);
 }
