--- a/tests/members/RegionPlayTest.cpp
+++ b/tests/members/RegionPlayTest.cpp
@@ -78,7 +78,7 @@
       Cuts_.erase(std::minmax(One, Other));
   }
 
-  bool isSpeaker(std::size_t Number) const {
+  bool isRepresentative(std::size_t Number) const {
     return Hosts_[Number].Table_->isRepresentative(
         false, Now_ - Hosts_[Number].StartedAt_, Now_);
   }
@@ -86,7 +86,7 @@
     std::vector<std::size_t> All;
     for (std::size_t Number = Region; Number < Hosts_.size();
          Number += Regions_)
-      if (!Down_.contains(Number) && isSpeaker(Number))
+      if (!Down_.contains(Number) && isRepresentative(Number))
         All.push_back(Number);
     return All;
   }
@@ -281,7 +281,7 @@
     Fleet Hosts(30, 3, LossRate);
     Hosts.play(4s);
     std::size_t Dead = 1;
-    while (Hosts.isSpeaker(Dead))
+    while (Hosts.isRepresentative(Dead))
       Dead += 3;
     Hosts.setDown(Dead, true);
     Hosts.play(HostTable::AliveFor + 2 * Fleet::Interval + 100ms);
--- a/tests/members/RegionUpdateTest.cpp
+++ b/tests/members/RegionUpdateTest.cpp
@@ -30,10 +30,10 @@
   return Result;
 }
 
-RegionUpdate updateOf(const char *Speaker, std::uint64_t Sequence) {
+RegionUpdate updateOf(const char *Representative, std::uint64_t Sequence) {
   RegionUpdate Result;
   Result.Region_ = base::RegionId("north");
-  Result.Representative_ = base::HostId(Speaker);
+  Result.Representative_ = base::HostId(Representative);
   Result.Sequence_ = Sequence;
   return Result;
 }
