--- a/libs/relaying/FreshnessTimeouts.h
+++ b/libs/relaying/FreshnessTimeouts.h
@@ -7,29 +7,33 @@
 
 namespace lychee::relaying {
 
-/// How the time in which a change must be in force everywhere is spent, from
-/// the watch that should tell of it to the host that asks since nobody did.
-/// Each span leaves room for the next: a call, the answer to a question, and
-/// the pace at which hosts look. \see RelayRole, live::ObjectFollower
+/// Divides the time within which a change must be in force everywhere into
+/// steps, from the watch that should report it to the host that reads the store
+/// itself because no other host reported the change. Each step leaves time for
+/// the next: a call to the store, the response to a poll, and the interval at
+/// which hosts check. \see RelayRole, live::ObjectFollower
 struct FreshnessTimeouts {
-  /// Length of a watch: the store is known to have answered so often.
+  /// Length of a watch. The store is known to respond at least this often.
   base::Duration Watch_{};
-  /// A watch that is silent for so much longer has ended unheard.
+  /// A watch that stays silent for this much longer has failed unnoticed.
   base::Duration WatchGrace_{};
-  /// News older than this: who told them is passed over for the next in line.
-  base::Duration PassOver_{};
-  /// News older than this: the first host asks itself.
-  base::Duration Ask_{};
-  /// The last host asks so much later, so that not all ask at once.
-  base::Duration AskSpread_{};
+  /// If a reader's updates are older than this, it is skipped in favour of the
+  /// next host in rank.
+  base::Duration SkipReaderAfter_{};
+  /// If all updates are older than this, the host with the first rank reads the
+  /// store itself.
+  base::Duration ReadStoreAfter_{};
+  /// The host with the last rank reads the store this much later than the
+  /// first, so that not all hosts read it at the same time.
+  base::Duration ReadStoreSpread_{};
 };
 
-/// \param ChangeInForce  the time in which a change must be in force.
+/// \param ChangeInForce time within which a change must be in force.
 inline FreshnessTimeouts
 freshnessTimeoutsFor(base::Duration ChangeInForce) noexcept {
-  // Changes of targets and zones come the same way, and may have less time.
-  constexpr base::Duration Longest = std::chrono::seconds(4);
-  const double Seconds = base::toSeconds(std::min(ChangeInForce, Longest));
+  // Changes of targets and zones use the same path and may have less time.
+  constexpr base::Duration MaxTime = std::chrono::seconds(4);
+  const double Seconds = base::toSeconds(std::min(ChangeInForce, MaxTime));
   return {base::fromSeconds(Seconds * 0.3), base::fromSeconds(Seconds * 0.125),
           base::fromSeconds(Seconds * 0.5), base::fromSeconds(Seconds * 0.8),
           base::fromSeconds(Seconds * 0.05)};
--- a/libs/relaying/RelayCopyLimiter.cpp
+++ b/libs/relaying/RelayCopyLimiter.cpp
@@ -2,13 +2,13 @@
 
 namespace lychee::relaying {
 
-bool RelayCopyLimiter::tryAcquire(std::size_t Bytes, bool Refused,
+bool RelayCopyLimiter::tryAcquire(std::size_t Bytes, bool StoreUnavailable,
                                   base::TimePoint Now) noexcept {
   if (Bytes <= SmallBytes)
     return true;
-  if (!Refused || Now < FreeAt_)
+  if (!StoreUnavailable || Now < NextLargeCopy_)
     return false;
-  FreeAt_ =
+  NextLargeCopy_ =
       Now + base::fromSeconds(static_cast<double>(Bytes) / LargeBytesPerSecond);
   return true;
 }
--- a/libs/relaying/RelayCopyLimiter.h
+++ b/libs/relaying/RelayCopyLimiter.h
@@ -7,37 +7,37 @@
 
 namespace lychee::relaying {
 
-/// Decides whether a host that asks the store tells another a change itself,
-/// or leaves it to fetch the change from the store.
+/// Decides whether a host that reads the store sends a change to another host,
+/// or leaves it to that host to fetch the change from the store.
 ///
-/// Load pattern: one change of some hundred kilobytes, and every host of the
-/// region asks for it within a few hundred milliseconds. What goes wrong
-/// without a bound: a small host spends its link and processor on copies,
-/// whoever asked gives up and asks again, and what the store tells the host
-/// itself waits behind the copies. The hosts that should know first know last.
+/// Load pattern: one change of several hundred kilobytes, which every host of
+/// the region requests within a few hundred milliseconds. Without a limit a
+/// small host spends its link and its processor on copies, requesters time out
+/// and ask again, and what the store sends to the host itself waits behind the
+/// copies. The hosts that should receive changes first then receive them last.
 ///
-/// So changes up to SmallBytes go to everybody. Larger ones go only to hosts
-/// that the store refuses, which cannot fetch them, and at a bounded rate that
-/// leaves most of a small link to requests. Everybody else fetches the change
-/// over its own link to the store, once.
+/// Changes of up to SmallBytes are therefore sent to every host. Larger ones
+/// are sent only to hosts that cannot reach the store, and at a limited rate
+/// that leaves most of a small link to requests. All other hosts fetch the
+/// change once over their own connection to the store.
 ///
-/// Of one thread. \see RelayRole
+/// Used on one thread. \see RelayRole
 class RelayCopyLimiter {
 public:
   static constexpr std::size_t SmallBytes = std::size_t{32} << 10;
-  /// Of large changes, in all.
+  /// Limit for all large changes together.
   static constexpr double LargeBytesPerSecond = 256 << 10;
 
-  /// \param Bytes  of the change as text. \param Refused  the host that asks
-  /// cannot fetch it from the store.
-  /// \returns whether the change is told; it counts as told then.
-  bool tryAcquire(std::size_t Bytes, bool Refused,
+  /// \param Bytes size of the change as text.
+  /// \param StoreUnavailable the requesting host cannot fetch the change from
+  /// the store.
+  /// \returns whether to send the change; if so, it counts against the limit.
+  bool tryAcquire(std::size_t Bytes, bool StoreUnavailable,
                   base::TimePoint Now) noexcept;
 
 private:
-  /// By then the large changes that were told have gone out at the bounded
-  /// rate.
-  base::TimePoint FreeAt_;
+  /// Time at which the large changes sent so far use up no more than the limit.
+  base::TimePoint NextLargeCopy_;
 };
 
 } // namespace lychee::relaying
--- a/libs/relaying/RelayExchange.cpp
+++ b/libs/relaying/RelayExchange.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr const char *NewsPath = "/news";
+constexpr const char *UpdatesPath = "/news";
 constexpr unsigned StatusOk = 200;
 constexpr unsigned StatusBadRequest = 400;
 constexpr unsigned StatusNotFound = 404;
@@ -24,79 +24,81 @@
 
 RelayExchange::RelayExchange(const asio::any_io_executor &Executor,
                              RelayRole &Role, std::uint16_t Port,
-                             Callbacks Others)
+                             Callbacks Handlers)
     : Executor_(Executor), Role_(Role), Port_(Port),
-      Others_(std::move(Others)) {}
+      Callbacks_(std::move(Handlers)) {}
 
 asio::awaitable<void> RelayExchange::pollAll() {
   asio::steady_timer Timer(Executor_);
   while (true) {
-    dropUnasked();
-    for (const std::string &Address : Role_.askers()) {
-      std::shared_ptr<Peer> &Whom = Peers_[Address];
-      if (!Whom)
-        Whom.reset(new Peer{Address,
-                            {Executor_, {.Address_ = Address, .Port_ = Port_}},
-                            false});
-      if (Whom->Pending_ ||
-          !Role_.takeTurn(Address, SystemClock::monotonicNow()))
+    dropIdlePeers();
+    for (const std::string &Address : Role_.readers()) {
+      std::shared_ptr<Peer> &Reader = Peers_[Address];
+      if (!Reader)
+        Reader.reset(
+            new Peer{Address,
+                     {Executor_, {.Address_ = Address, .Port_ = Port_}},
+                     false});
+      if (Reader->Pending_ ||
+          !Role_.tryPoll(Address, SystemClock::monotonicNow()))
         continue;
-      Whom->Pending_ = true;
-      asio::co_spawn(Executor_, ask(Whom), asio::detached);
+      Reader->Pending_ = true;
+      asio::co_spawn(Executor_, poll(Reader), asio::detached);
     }
-    Timer.expires_after(Pace);
+    Timer.expires_after(Interval);
     co_await Timer.async_wait(asio::use_awaitable);
   }
 }
 
-void RelayExchange::dropUnasked() {
-  const std::vector<std::string> &Asked = Role_.askers();
-  std::erase_if(Peers_, [&Asked](const auto &Each) {
-    return !Each.second->Pending_ &&
-           std::find(Asked.begin(), Asked.end(), Each.first) == Asked.end();
+void RelayExchange::dropIdlePeers() {
+  const std::vector<std::string> &Polled = Role_.readers();
+  std::erase_if(Peers_, [&Polled](const auto &Entry) {
+    return !Entry.second->Pending_ &&
+           std::find(Polled.begin(), Polled.end(), Entry.first) == Polled.end();
   });
 }
 
-asio::awaitable<void> RelayExchange::ask(std::shared_ptr<Peer> Whom) {
+asio::awaitable<void> RelayExchange::poll(std::shared_ptr<Peer> Reader) {
   transport::HttpRequest Request;
   Request.Method_ = "POST";
-  Request.Target_ = NewsPath;
-  const base::TimePoint AskedAt = SystemClock::monotonicNow();
-  Request.Body_ = encodeQuestion(Others_.Ask_(AskedAt));
+  Request.Target_ = UpdatesPath;
+  const base::TimePoint SentAt = SystemClock::monotonicNow();
+  Request.Body_ = encodeRequest(Callbacks_.BuildRequest_(SentAt));
   bool Sent = false;
   base::Error Last;
-  const auto Answer = co_await Whom->Client_.exchange(
+  const auto HttpResponse = co_await Reader->Client_.exchange(
       std::move(Request), Timeout, "relay.ask", Sent, Last);
-  Whom->Pending_ = false;
-  if (Answer && Answer->Status_ != StatusOk)
-    Last = {"relay.ask", Whom->Address_,
-            "status " + std::to_string(Answer->Status_)};
-  const auto Told = Answer && Answer->Status_ == StatusOk
-                        ? decodeAnswer(Answer->Body_, Last)
-                        : std::nullopt;
-  if (!Told) {
-    Others_.Trouble_(Whom->Address_, Last);
+  Reader->Pending_ = false;
+  if (HttpResponse && HttpResponse->Status_ != StatusOk)
+    Last = {"relay.ask", Reader->Address_,
+            "status " + std::to_string(HttpResponse->Status_)};
+  const auto Response = HttpResponse && HttpResponse->Status_ == StatusOk
+                            ? decodeResponse(HttpResponse->Body_, Last)
+                            : std::nullopt;
+  if (!Response) {
+    Callbacks_.OnFailure_(Reader->Address_, Last);
     co_return;
   }
   const base::TimePoint Now = SystemClock::monotonicNow();
   std::optional<base::TimePoint> Contact;
-  if (Told->IsSynced_ && Told->ContactAge_)
-    Contact = AskedAt - *Told->ContactAge_;
-  Role_.noteAnswer(Whom->Address_, Contact, Now);
-  Others_.Take_(*Told, AskedAt, Now);
+  if (Response->IsSynced_ && Response->ContactAge_)
+    Contact = SentAt - *Response->ContactAge_;
+  Role_.noteResponse(Reader->Address_, Contact, Now);
+  Callbacks_.OnResponse_(*Response, SentAt, Now);
 }
 
-transport::HttpAnswer RelayExchange::answer(const transport::HttpRequest &Asked,
-                                            base::TimePoint Now) const {
+transport::HttpAnswer
+RelayExchange::answer(const transport::HttpRequest &Request,
+                      base::TimePoint Now) const {
   transport::HttpAnswer Answer;
   Answer.Status_ = StatusNotFound;
-  if (Asked.Method_ != "POST" || Asked.Target_ != NewsPath)
+  if (Request.Method_ != "POST" || Request.Target_ != UpdatesPath)
     return Answer;
   base::Error Last;
-  const auto Question = decodeQuestion(Asked.Body_, Last);
-  Answer.Status_ = Question ? StatusOk : StatusBadRequest;
-  Answer.Body_ = Question ? encodeAnswer(Others_.Answer_(*Question, Now))
-                          : Last.describe();
+  const auto Poll = decodeRequest(Request.Body_, Last);
+  Answer.Status_ = Poll ? StatusOk : StatusBadRequest;
+  Answer.Body_ = Poll ? encodeResponse(Callbacks_.BuildResponse_(*Poll, Now))
+                      : Last.describe();
   return Answer;
 }
 
--- a/libs/relaying/RelayExchange.h
+++ b/libs/relaying/RelayExchange.h
@@ -13,36 +13,38 @@
 
 namespace lychee::relaying {
 
-/// Asks the hosts that ask the store what they heard, and answers hosts that
-/// ask this one. Of the control loop's thread. \see RelayRole
+/// Polls the hosts that read the store for updates, and answers other hosts'
+/// polls. Used on the control loop's thread. \see RelayRole
 class RelayExchange {
 public:
-  /// How often this host looks whom to ask.
-  static constexpr std::chrono::milliseconds Pace{100};
-  /// A host that has not answered by then is asked anew.
+  /// Interval at which this host checks which readers to poll.
+  static constexpr std::chrono::milliseconds Interval{100};
+  /// A reader that has not responded within this time is polled again.
   static constexpr std::chrono::milliseconds Timeout{400};
 
   struct Callbacks {
-    std::function<RelayRequest(base::TimePoint Now)> Ask_;
-    std::function<RelayResponse(const RelayRequest &, base::TimePoint)> Answer_;
-    std::function<void(const RelayResponse &, base::TimePoint AskedAt,
+    std::function<RelayRequest(base::TimePoint Now)> BuildRequest_;
+    std::function<RelayResponse(const RelayRequest &, base::TimePoint)>
+        BuildResponse_;
+    std::function<void(const RelayResponse &, base::TimePoint SentAt,
                        base::TimePoint Now)>
-        Take_;
-    /// A host did not answer, or not so that it can be read.
+        OnResponse_;
+    /// Called if a host does not respond or its response is invalid.
     std::function<void(const std::string &Address, const base::Error &)>
-        Trouble_;
+        OnFailure_;
   };
 
-  /// \param Role  outlives this. \param Port  of all hosts.
+  /// \param Role must outlive this.
+  /// \param Port port of all hosts.
   RelayExchange(const boost::asio::any_io_executor &Executor, RelayRole &Role,
-                std::uint16_t Port, Callbacks Others);
+                std::uint16_t Port, Callbacks Handlers);
   RelayExchange(const RelayExchange &) = delete;
   RelayExchange &operator=(const RelayExchange &) = delete;
 
   /// Runs until the executor ends.
   boost::asio::awaitable<void> pollAll();
 
-  transport::HttpAnswer answer(const transport::HttpRequest &Asked,
+  transport::HttpAnswer answer(const transport::HttpRequest &Request,
                                base::TimePoint Now) const;
 
 private:
@@ -52,13 +54,13 @@
     bool Pending_ = false;
   };
 
-  boost::asio::awaitable<void> ask(std::shared_ptr<Peer> Whom);
-  void dropUnasked();
+  boost::asio::awaitable<void> poll(std::shared_ptr<Peer> Reader);
+  void dropIdlePeers();
 
   const boost::asio::any_io_executor Executor_;
   RelayRole &Role_;
   const std::uint16_t Port_;
-  const Callbacks Others_;
+  const Callbacks Callbacks_;
   std::map<std::string, std::shared_ptr<Peer>> Peers_;
 };
 
--- a/libs/relaying/RelayMessages.cpp
+++ b/libs/relaying/RelayMessages.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-std::string textOf(const Json::Value &Document) {
+std::string writeJson(const Json::Value &Document) {
   Json::StreamWriterBuilder Builder;
   Builder["indentation"] = "";
   return Json::writeString(Builder, Document);
@@ -21,24 +21,25 @@
   Json::Value Document;
   const Json::CharReaderBuilder Builder;
   const std::unique_ptr<Json::CharReader> Reader(Builder.newCharReader());
-  std::string Why;
-  if (Reader->parse(Text.data(), Text.data() + Text.size(), &Document, &Why) &&
+  std::string Reason;
+  if (Reader->parse(Text.data(), Text.data() + Text.size(), &Document,
+                    &Reason) &&
       Document.isObject())
     return Document;
-  Last = {Step, "host", Why.empty() ? "no JSON object" : Why};
+  Last = {Step, "host", Reason.empty() ? "no JSON object" : Reason};
   return std::nullopt;
 }
 
-Json::Value rowOf(const StoredObject &Each) {
+Json::Value encodeObject(const StoredObject &Object) {
   Json::Value Row(Json::arrayValue);
-  Row.append(Each.Name_);
-  Row.append(Json::UInt64(Each.Revision_));
-  Row.append(Each.Deleted_);
-  Row.append(Each.Deleted_ ? Json::Value() : Each.Content_);
+  Row.append(Object.Name_);
+  Row.append(Json::UInt64(Object.Revision_));
+  Row.append(Object.Deleted_);
+  Row.append(Object.Deleted_ ? Json::Value() : Object.Content_);
   return Row;
 }
 
-std::optional<StoredObject> readRow(const Json::Value &Row) {
+std::optional<StoredObject> decodeObject(const Json::Value &Row) {
   if (!Row.isArray() || Row.size() != 4 || !Row[0].isString() ||
       !Row[1].isUInt64() || !Row[2].isBool())
     return std::nullopt;
@@ -46,106 +47,110 @@
                       Row[2].asBool(), live::parsedBytes(Row[3])};
 }
 
-Json::Value newsOf(const ObjectUpdate &Each) {
-  Json::Value Told;
-  Told["at"] = Json::UInt64(Each.Changes_.Revision_);
-  Told["newest"] = Json::UInt64(Each.Newest_);
-  if (Each.MustList_)
-    Told["list"] = true;
-  if (Each.Age_)
-    Told["age"] = Json::Int64(base::toMilliseconds(*Each.Age_));
-  for (const StoredObject &Object : Each.Changes_.Objects_)
-    Told["objects"].append(rowOf(Object));
-  return Told;
+Json::Value encodeUpdate(const ObjectUpdate &Update) {
+  Json::Value Document;
+  Document["at"] = Json::UInt64(Update.Changes_.Revision_);
+  Document["newest"] = Json::UInt64(Update.NewestRevision_);
+  if (Update.MustRelist_)
+    Document["list"] = true;
+  if (Update.Age_)
+    Document["age"] = Json::Int64(base::toMilliseconds(*Update.Age_));
+  for (const StoredObject &Object : Update.Changes_.Objects_)
+    Document["objects"].append(encodeObject(Object));
+  return Document;
 }
 
-std::optional<ObjectUpdate> readNews(const std::string &Kind,
-                                     const Json::Value &Told) {
-  ObjectUpdate Read;
-  Read.Kind_ = Kind;
-  if (!Told.isObject() || !Told["at"].isUInt64() || !Told["newest"].isUInt64())
+std::optional<ObjectUpdate> decodeUpdate(const std::string &Kind,
+                                         const Json::Value &Document) {
+  ObjectUpdate Result;
+  Result.Kind_ = Kind;
+  if (!Document.isObject() || !Document["at"].isUInt64() ||
+      !Document["newest"].isUInt64())
     return std::nullopt;
-  Read.Changes_.Revision_ = Told["at"].asUInt64();
-  Read.Newest_ = Told["newest"].asUInt64();
-  Read.MustList_ = Told["list"] == Json::Value(true);
-  // Rounded up: what is told must not seem fresher than it is.
-  if (Told["age"].isInt64())
-    Read.Age_ = std::chrono::milliseconds(Told["age"].asInt64() + 1);
-  for (const Json::Value &Row : Told["objects"]) {
-    const auto Object = readRow(Row);
+  Result.Changes_.Revision_ = Document["at"].asUInt64();
+  Result.NewestRevision_ = Document["newest"].asUInt64();
+  Result.MustRelist_ = Document["list"] == Json::Value(true);
+  // Rounded up, so that an update never appears more recent than it is.
+  if (Document["age"].isInt64())
+    Result.Age_ = std::chrono::milliseconds(Document["age"].asInt64() + 1);
+  for (const Json::Value &Row : Document["objects"]) {
+    const auto Object = decodeObject(Row);
     if (!Object)
       return std::nullopt;
-    Read.Changes_.Objects_.push_back(*Object);
+    Result.Changes_.Objects_.push_back(*Object);
   }
-  return Read;
+  return Result;
 }
 
 } // namespace
 
-std::string encodeQuestion(const RelayRequest &Asked) {
-  Json::Value Text;
-  if (Asked.StoreUnavailable_)
-    Text["refused"] = true;
-  for (const auto &[Kind, Revision] : Asked.Known_)
-    Text["known"][Kind] = Json::UInt64(Revision);
-  return textOf(Text);
+std::string encodeRequest(const RelayRequest &Request) {
+  Json::Value Document;
+  if (Request.StoreUnavailable_)
+    Document["refused"] = true;
+  for (const auto &[Kind, Revision] : Request.Known_)
+    Document["known"][Kind] = Json::UInt64(Revision);
+  return writeJson(Document);
 }
 
-std::string encodeAnswer(const RelayResponse &Told) {
-  Json::Value Text;
-  Text["sound"] = Told.IsSynced_;
-  if (Told.ContactAge_)
-    Text["contact"] = Json::Int64(base::toMilliseconds(*Told.ContactAge_));
-  if (Told.TroubleAge_)
-    Text["trouble"] = Json::Int64(base::toMilliseconds(*Told.TroubleAge_));
-  for (const ObjectUpdate &Each : Told.Updates_)
-    Text["news"][Each.Kind_] = newsOf(Each);
-  return textOf(Text);
+std::string encodeResponse(const RelayResponse &Response) {
+  Json::Value Document;
+  Document["sound"] = Response.IsSynced_;
+  if (Response.ContactAge_)
+    Document["contact"] =
+        Json::Int64(base::toMilliseconds(*Response.ContactAge_));
+  if (Response.TroubleAge_)
+    Document["trouble"] =
+        Json::Int64(base::toMilliseconds(*Response.TroubleAge_));
+  for (const ObjectUpdate &Update : Response.Updates_)
+    Document["news"][Update.Kind_] = encodeUpdate(Update);
+  return writeJson(Document);
 }
 
-std::optional<RelayRequest> decodeQuestion(std::string_view Text,
-                                           base::Error &Last) {
+std::optional<RelayRequest> decodeRequest(std::string_view Text,
+                                          base::Error &Last) {
   const auto Document = parse(Text, "relay.question", Last);
   if (!Document)
     return std::nullopt;
-  RelayRequest Read;
+  RelayRequest Result;
   const Json::Value &Known = (*Document)["known"];
   if (!Known.isObject()) {
     Last = {"relay.question", "host", "known is missing or no object"};
     return std::nullopt;
   }
-  Read.StoreUnavailable_ = (*Document)["refused"] == Json::Value(true);
+  Result.StoreUnavailable_ = (*Document)["refused"] == Json::Value(true);
   for (const std::string &Kind : Known.getMemberNames())
     if (Known[Kind].isUInt64())
-      Read.Known_[Kind] = Known[Kind].asUInt64();
-  return Read;
+      Result.Known_[Kind] = Known[Kind].asUInt64();
+  return Result;
 }
 
-std::optional<RelayResponse> decodeAnswer(std::string_view Text,
-                                          base::Error &Last) {
+std::optional<RelayResponse> decodeResponse(std::string_view Text,
+                                            base::Error &Last) {
   const auto Document = parse(Text, "relay.answer", Last);
   if (!Document)
     return std::nullopt;
   Last = {"relay.answer", "host", "a field is missing or of another type"};
-  const Json::Value &News = (*Document)["news"];
-  if (!(*Document)["sound"].isBool() || !(News.isObject() || News.isNull()))
+  const Json::Value &Updates = (*Document)["news"];
+  if (!(*Document)["sound"].isBool() ||
+      !(Updates.isObject() || Updates.isNull()))
     return std::nullopt;
-  RelayResponse Read;
-  Read.IsSynced_ = (*Document)["sound"].asBool();
-  // Rounded up, as the age of news.
+  RelayResponse Result;
+  Result.IsSynced_ = (*Document)["sound"].asBool();
+  // Rounded up for the same reason as the age of an update.
   if ((*Document)["contact"].isInt64())
-    Read.ContactAge_ =
+    Result.ContactAge_ =
         std::chrono::milliseconds((*Document)["contact"].asInt64() + 1);
   if ((*Document)["trouble"].isInt64())
-    Read.TroubleAge_ =
+    Result.TroubleAge_ =
         std::chrono::milliseconds((*Document)["trouble"].asInt64());
-  for (const std::string &Kind : News.getMemberNames()) {
-    auto Each = readNews(Kind, News[Kind]);
-    if (!Each)
+  for (const std::string &Kind : Updates.getMemberNames()) {
+    auto Update = decodeUpdate(Kind, Updates[Kind]);
+    if (!Update)
       return std::nullopt;
-    Read.Updates_.push_back(std::move(*Each));
+    Result.Updates_.push_back(std::move(*Update));
   }
-  return Read;
+  return Result;
 }
 
 } // namespace lychee::relaying
--- a/libs/relaying/RelayMessages.h
+++ b/libs/relaying/RelayMessages.h
@@ -13,34 +13,36 @@
 
 namespace lychee::relaying {
 
-/// What a host asks another: what changed since the revision that it knows, for
-/// each kind of object.
+/// Request for the changes since the revisions that the sender knows, by kind
+/// of object.
 struct RelayRequest {
   std::map<std::string, std::uint64_t> Known_;
-  /// The store does not answer the host that asks.
+  /// The store does not respond to the sender.
   bool StoreUnavailable_ = false;
 };
 
-/// What the other answers.
+/// Response to a RelayRequest.
 struct RelayResponse {
-  /// It asks the store itself, and its last calls brought what there is.
+  /// The responding host reads the store itself, and its last calls succeeded.
   bool IsSynced_ = false;
-  /// How long ago a call about the intent came: how old its news may be.
+  /// Time since a call about the intent succeeded, which bounds the age of the
+  /// updates.
   std::optional<base::Duration> ContactAge_;
-  /// How long ago a call of it to the store failed; entries that are missing
-  /// right after that may come back. \see live::TargetRegistry
+  /// Time since a call of the responding host to the store failed. Entries that
+  /// are missing shortly after a failure may come back. \see
+  /// live::TargetRegistry
   std::optional<base::Duration> TroubleAge_;
   std::vector<live::ObjectUpdate> Updates_;
 };
 
-std::string encodeQuestion(const RelayRequest &Asked);
-std::string encodeAnswer(const RelayResponse &Told);
+std::string encodeRequest(const RelayRequest &Request);
+std::string encodeResponse(const RelayResponse &Response);
 
-/// \returns nothing, and \p Last filled, where \p Text is no such message.
-std::optional<RelayRequest> decodeQuestion(std::string_view Text,
-                                           base::Error &Last);
-std::optional<RelayResponse> decodeAnswer(std::string_view Text,
+/// Both return nothing and fill \p Last if \p Text is not such a message.
+std::optional<RelayRequest> decodeRequest(std::string_view Text,
                                           base::Error &Last);
+std::optional<RelayResponse> decodeResponse(std::string_view Text,
+                                            base::Error &Last);
 
 } // namespace lychee::relaying
 
--- a/libs/relaying/RelayRole.cpp
+++ b/libs/relaying/RelayRole.cpp
@@ -6,130 +6,139 @@
 
 namespace lychee::relaying {
 
-/// Hosts without trouble first. Where all have it, the same few go on asking.
-bool RelayRole::goesBefore(const Candidate &Left,
-                           const Candidate &Right) noexcept {
-  if (Left.InTrouble_ != Right.InTrouble_)
-    return !Left.InTrouble_;
+/// Hosts without a recent store failure rank first. If all have one, the same
+/// few hosts continue to read the store.
+bool RelayRole::ranksBefore(const Candidate &Left,
+                            const Candidate &Right) noexcept {
+  if (Left.StoreFailing_ != Right.StoreFailing_)
+    return !Left.StoreFailing_;
   return Left.Hash_ > Right.Hash_;
 }
 
 void RelayRole::update(std::span<const members::HostView> Others,
-                       bool OwnLeaving, base::TimePoint Now) {
-  passOver(Now);
+                       bool LocalLeaving, base::TimePoint Now) {
+  skipStaleReaders(Now);
   std::vector<Candidate> Ranked;
-  if (!OwnLeaving)
+  if (!LocalLeaving)
     Ranked.push_back({isInTrouble(Now), base::stableHash(Self_.Host_.name()),
                       Self_.Address_});
-  for (const members::HostView &Each : Others)
-    if (Each.Alive_ && !Each.Leaving_ &&
-        Each.Descriptor_.Region_ == Self_.Region_)
+  for (const members::HostView &Entry : Others)
+    if (Entry.Alive_ && !Entry.Leaving_ &&
+        Entry.Descriptor_.Region_ == Self_.Region_)
       Ranked.push_back(
-          {Each.StoreTrouble_ || isPassedOver(Each.Descriptor_.Address_),
-           base::stableHash(Each.Descriptor_.Host_.name()),
-           Each.Descriptor_.Address_});
-  std::sort(Ranked.begin(), Ranked.end(), goesBefore);
-  RegionHosts_ = Ranked.size();
-  const auto Own =
-      std::find_if(Ranked.begin(), Ranked.end(), [this](const Candidate &Each) {
-        return Each.Address_ == Self_.Address_;
-      });
-  Rank_ = static_cast<std::size_t>(Own - Ranked.begin());
-  const std::size_t Count = askersFor(Ranked.size());
-  Chosen_ = Own != Ranked.end() && Rank_ < Count;
+          {Entry.StoreTrouble_ || isSkipped(Entry.Descriptor_.Address_),
+           base::stableHash(Entry.Descriptor_.Host_.name()),
+           Entry.Descriptor_.Address_});
+  std::sort(Ranked.begin(), Ranked.end(), ranksBefore);
+  HostCount_ = Ranked.size();
+  const auto Local = std::find_if(Ranked.begin(), Ranked.end(),
+                                  [this](const Candidate &Entry) {
+                                    return Entry.Address_ == Self_.Address_;
+                                  });
+  Rank_ = static_cast<std::size_t>(Local - Ranked.begin());
+  const std::size_t Count = readersFor(Ranked.size());
+  IsReader_ = Local != Ranked.end() && Rank_ < Count;
   Ranked.resize(std::min(Ranked.size(), Count));
-  pickAskers(Ranked);
-  noteAskers(Now);
+  pickReaders(Ranked);
+  trackReaders(Now);
 }
 
-/// Hosts begin at different places, so that all that ask the store have as many
-/// others to answer.
-void RelayRole::pickAskers(std::span<const Candidate> Ranked) {
-  Askers_.clear();
+/// Hosts start at different readers, so that all readers get about the same
+/// number of polls.
+void RelayRole::pickReaders(std::span<const Candidate> Ranked) {
+  Readers_.clear();
   if (Ranked.empty())
     return;
-  const std::size_t Begin = base::stableHash(Self_.Address_) % Ranked.size();
+  const std::size_t First = base::stableHash(Self_.Address_) % Ranked.size();
   for (std::size_t Step = 0;
-       Step < Ranked.size() && Askers_.size() < AskedByEach; ++Step) {
-    const Candidate &Each = Ranked[(Begin + Step) % Ranked.size()];
-    if (Each.Address_ != Self_.Address_)
-      Askers_.push_back(Each.Address_);
+       Step < Ranked.size() && Readers_.size() < ReadersPerHost; ++Step) {
+    const Candidate &Entry = Ranked[(First + Step) % Ranked.size()];
+    if (Entry.Address_ != Self_.Address_)
+      Readers_.push_back(Entry.Address_);
   }
 }
 
-/// Whoever was passed over is given another chance once its trouble may be
-/// over.
-void RelayRole::noteAskers(base::TimePoint Now) {
-  for (const std::string &Each : Askers_)
-    Asked_.try_emplace(Each, Asker{Now, std::nullopt, std::nullopt, Now});
-  // One that is asked again later is asked anew.
-  std::erase_if(Asked_, [this](const auto &Each) {
-    const bool IsAsked =
-        std::find(Askers_.begin(), Askers_.end(), Each.first) != Askers_.end();
-    return !IsAsked && !Each.second.PassedOverAt_;
+/// The state of skipped readers is kept until skipStaleReaders() drops it after
+/// FailureMemory; then they get another chance.
+void RelayRole::trackReaders(base::TimePoint Now) {
+  for (const std::string &Entry : Readers_)
+    ReaderStates_.try_emplace(Entry,
+                              Reader{Now, std::nullopt, std::nullopt, Now});
+  // A reader that is no longer polled starts over if it is polled again later.
+  std::erase_if(ReaderStates_, [this](const auto &Entry) {
+    const bool IsPolled = std::find(Readers_.begin(), Readers_.end(),
+                                    Entry.first) != Readers_.end();
+    return !IsPolled && !Entry.second.SkippedAt_;
   });
 }
 
-bool RelayRole::takeTurn(const std::string &Address, base::TimePoint Now) {
-  const auto Found = Asked_.find(Address);
-  if (Found == Asked_.end())
+bool RelayRole::tryPoll(const std::string &Address, base::TimePoint Now) {
+  const auto Found = ReaderStates_.find(Address);
+  if (Found == ReaderStates_.end())
     return false;
-  Asker &Whom = Found->second;
-  const bool IsNew =
-      Whom.Contact_ <= Whom.Since_ && Now - Whom.Since_ < AskedAnewFor;
-  const base::Duration Every = IsNew ? AskAnewEvery : AskEvery;
-  // Half a turn early is in time; timers fire late.
-  if (Whom.AskedAt_ && Now - *Whom.AskedAt_ < Every - AskAnewEvery / 2)
+  Reader &Polled = Found->second;
+  const bool IsNew = Polled.StoreContact_ <= Polled.Since_ &&
+                     Now - Polled.Since_ < FastPollTime;
+  const base::Duration Interval = IsNew ? FastPollInterval : PollInterval;
+  // Half an interval early is accepted, because timers fire late.
+  if (Polled.PolledAt_ &&
+      Now - *Polled.PolledAt_ < Interval - FastPollInterval / 2)
     return false;
-  Whom.AskedAt_ = Now;
+  Polled.PolledAt_ = Now;
   return true;
 }
 
-void RelayRole::passOver(base::TimePoint Now) {
-  for (auto &[Address, Each] : Asked_)
-    if (!Each.PassedOverAt_ && Now - Each.Contact_ >= Pace_.PassOver_)
-      Each.PassedOverAt_ = Now;
-  std::erase_if(Asked_, [Now](const auto &Each) {
-    const auto &At = Each.second.PassedOverAt_;
-    return At && Now - *At >= TroubleMemory;
+void RelayRole::skipStaleReaders(base::TimePoint Now) {
+  for (auto &[Address, Entry] : ReaderStates_)
+    if (!Entry.SkippedAt_ &&
+        Now - Entry.StoreContact_ >= Timeouts_.SkipReaderAfter_)
+      Entry.SkippedAt_ = Now;
+  std::erase_if(ReaderStates_, [Now](const auto &Entry) {
+    const auto &SkippedAt = Entry.second.SkippedAt_;
+    return SkippedAt && Now - *SkippedAt >= FailureMemory;
   });
 }
 
-bool RelayRole::isPassedOver(const std::string &Address) const {
-  const auto Found = Asked_.find(Address);
-  return Found != Asked_.end() && Found->second.PassedOverAt_;
+bool RelayRole::isSkipped(const std::string &Address) const {
+  const auto Found = ReaderStates_.find(Address);
+  return Found != ReaderStates_.end() && Found->second.SkippedAt_;
 }
 
-void RelayRole::noteAnswer(const std::string &Address,
-                           std::optional<base::TimePoint> Contact,
-                           base::TimePoint Now) {
-  Answered_ = Now;
-  if (!Contact)
+void RelayRole::noteResponse(const std::string &Address,
+                             std::optional<base::TimePoint> StoreContact,
+                             base::TimePoint Now) {
+  RespondedAt_ = Now;
+  if (!StoreContact)
     return;
-  Contact_ = std::max(Contact_.value_or(*Contact), *Contact);
-  if (const auto Found = Asked_.find(Address); Found != Asked_.end())
-    Found->second.Contact_ = std::max(Found->second.Contact_, *Contact);
+  StoreContact_ =
+      std::max(StoreContact_.value_or(*StoreContact), *StoreContact);
+  if (const auto Found = ReaderStates_.find(Address);
+      Found != ReaderStates_.end())
+    Found->second.StoreContact_ =
+        std::max(Found->second.StoreContact_, *StoreContact);
 }
 
 double RelayRole::backoffFactor(base::TimePoint Now) const noexcept {
-  const bool Answered = Answered_ && Now - *Answered_ < Silence;
-  if (Chosen_ || !Answered)
+  const bool HasResponse = RespondedAt_ && Now - *RespondedAt_ < SilenceLimit;
+  if (IsReader_ || !HasResponse)
     return 1;
-  return std::max(1.0, static_cast<double>(RegionHosts_) /
-                           static_cast<double>(askersFor(RegionHosts_)));
+  return std::max(1.0, static_cast<double>(HostCount_) /
+                           static_cast<double>(readersFor(HostCount_)));
 }
 
-base::Duration RelayRole::patience() const noexcept {
-  const double Place =
+base::Duration RelayRole::readDelay() const noexcept {
+  const double RelativeRank =
       static_cast<double>(Rank_) /
-      static_cast<double>(std::max<std::size_t>(1, RegionHosts_));
-  return Pace_.Ask_ +
-         base::fromSeconds(base::toSeconds(Pace_.AskSpread_) * Place);
+      static_cast<double>(std::max<std::size_t>(1, HostCount_));
+  return Timeouts_.ReadStoreAfter_ +
+         base::fromSeconds(base::toSeconds(Timeouts_.ReadStoreSpread_) *
+                           RelativeRank);
 }
 
 bool RelayRole::mustReadStore(base::TimePoint Now) const noexcept {
-  const bool Answered = Answered_ && Now - *Answered_ < Silence;
-  return Chosen_ || !Answered || !Contact_ || Now - *Contact_ >= patience();
+  const bool HasResponse = RespondedAt_ && Now - *RespondedAt_ < SilenceLimit;
+  return IsReader_ || !HasResponse || !StoreContact_ ||
+         Now - *StoreContact_ >= readDelay();
 }
 
 } // namespace lychee::relaying
--- a/tests/relaying/RelayRoleTest.cpp
+++ b/tests/relaying/RelayRoleTest.cpp
@@ -9,24 +9,24 @@
 
 namespace {
 
-members::HostDescriptor cardOf(int Number, const char *Region = "near") {
-  members::HostDescriptor Made;
-  Made.Host_ = base::HostId("host-" + std::to_string(Number));
-  Made.Region_ = base::RegionId(Region);
-  Made.Address_ = "127.0.0." + std::to_string(Number);
-  return Made;
+members::HostDescriptor descriptorOf(int Number, const char *Region = "near") {
+  members::HostDescriptor Result;
+  Result.Host_ = base::HostId("host-" + std::to_string(Number));
+  Result.Region_ = base::RegionId(Region);
+  Result.Address_ = "127.0.0." + std::to_string(Number);
+  return Result;
 }
 
 members::HostView viewOf(int Number, const char *Region = "near") {
-  members::HostView Made;
-  Made.Descriptor_ = cardOf(Number, Region);
-  Made.Alive_ = true;
-  Made.Ready_ = true;
-  return Made;
+  members::HostView Result;
+  Result.Descriptor_ = descriptorOf(Number, Region);
+  Result.Alive_ = true;
+  Result.Ready_ = true;
+  return Result;
 }
 
 constexpr int HostCount = 10;
-const auto Pace = lychee::relaying::freshnessTimeoutsFor(4s);
+const auto Timeouts = lychee::relaying::freshnessTimeoutsFor(4s);
 
 } // namespace
 
@@ -38,150 +38,151 @@
 
   void setup() override {
     for (int Number = 1; Number <= HostCount; ++Number) {
-      Roles_.emplace_back(cardOf(Number), Pace);
+      Roles_.emplace_back(descriptorOf(Number), Timeouts);
       Views_.push_back(viewOf(Number));
     }
     updateAll();
   }
   void updateAll() {
-    for (std::size_t Each = 0; Each < Roles_.size(); ++Each) {
+    for (std::size_t Entry = 0; Entry < Roles_.size(); ++Entry) {
       std::vector<members::HostView> Others = Views_;
-      Others.erase(Others.begin() + static_cast<std::ptrdiff_t>(Each));
-      Roles_[Each].update(Others, false, Now_);
+      Others.erase(Others.begin() + static_cast<std::ptrdiff_t>(Entry));
+      Roles_[Entry].update(Others, false, Now_);
     }
   }
-  /// All hosts hear the hosts that they ask now, which the store has just
-  /// answered where \p Sound.
-  void answerAll(bool Sound) {
-    for (RelayRole &Each : Roles_)
-      for (const std::string &Address : Each.askers())
-        Each.noteAnswer(Address, Sound ? std::optional(Now_) : std::nullopt,
-                        Now_);
+  /// All hosts get responses from the readers that they poll now. If \p
+  /// IsSynced, the store has just responded to these.
+  void respondToAll(bool IsSynced) {
+    for (RelayRole &Entry : Roles_)
+      for (const std::string &Address : Entry.readers())
+        Entry.noteResponse(Address,
+                           IsSynced ? std::optional(Now_) : std::nullopt, Now_);
   }
-  std::vector<std::size_t> asking() const {
+  std::vector<std::size_t> reading() const {
     std::vector<std::size_t> Found;
-    for (std::size_t Each = 0; Each < Roles_.size(); ++Each)
-      if (Roles_[Each].mustReadStore(Now_))
-        Found.push_back(Each);
+    for (std::size_t Entry = 0; Entry < Roles_.size(); ++Entry)
+      if (Roles_[Entry].mustReadStore(Now_))
+        Found.push_back(Entry);
     return Found;
   }
 };
 
-TEST(RelayRole, twoHostsOfARegionAskAndAllAgreeWhich) {
-  answerAll(true);
-  const std::vector<std::size_t> Asking = asking();
-  LONGS_EQUAL(RelayRole::AskersPerRegion, Asking.size());
-  for (std::size_t Each = 0; Each < Roles_.size(); ++Each)
-    for (const std::string &Address : Roles_[Each].askers())
-      CHECK(Address == Views_[Asking[0]].Descriptor_.Address_ ||
-            Address == Views_[Asking[1]].Descriptor_.Address_);
+TEST(RelayRole, allHostsAgreeOnTwoReaders) {
+  respondToAll(true);
+  const std::vector<std::size_t> Reading = reading();
+  LONGS_EQUAL(RelayRole::MinReaders, Reading.size());
+  for (std::size_t Entry = 0; Entry < Roles_.size(); ++Entry)
+    for (const std::string &Address : Roles_[Entry].readers())
+      CHECK(Address == Views_[Reading[0]].Descriptor_.Address_ ||
+            Address == Views_[Reading[1]].Descriptor_.Address_);
 }
 
-TEST(RelayRole, aHostThatHeardNobodyAsks) {
-  RelayRole Alone(cardOf(1), Pace);
+TEST(RelayRole, hostWithoutResponsesReadsTheStore) {
+  RelayRole Alone(descriptorOf(1), Timeouts);
   CHECK(Alone.mustReadStore(Now_));
   Alone.update({}, false, Now_);
   CHECK(Alone.mustReadStore(Now_));
 }
 
-TEST(RelayRole, hostsOfOtherRegionsAreNotAsked) {
-  RelayRole Role(cardOf(1), Pace);
+TEST(RelayRole, hostsOfOtherRegionsAreNotPolled) {
+  RelayRole Role(descriptorOf(1), Timeouts);
   const std::vector<members::HostView> Others = {viewOf(2, "far"),
                                                  viewOf(3, "far")};
   Role.update(Others, false, Now_);
-  CHECK(Role.askers().empty());
+  CHECK(Role.readers().empty());
   CHECK(Role.mustReadStore(Now_ + 1h));
 }
 
-// The hosts that ask die. Nothing is told any more, and a target that leaves
-// would go on getting requests; so after a second all others ask themselves,
-// and once the dead are known to be dead, two of them are enough again.
-TEST(RelayRole, whereNobodyAnswersAllAskUntilOthersTakeOver) {
-  answerAll(true);
-  const std::vector<std::size_t> Dead = asking();
-  Now_ += RelayRole::Silence;
-  LONGS_EQUAL(HostCount, asking().size());
-  for (const std::size_t Each : Dead)
-    Views_[Each].Alive_ = false;
+// The readers die. Without updates a leaving target would continue to get
+// requests, so after a second all other hosts read the store themselves. Once
+// the dead hosts are known to be dead, two readers are enough again.
+TEST(RelayRole, withoutResponsesAllHostsReadUntilOthersTakeOver) {
+  respondToAll(true);
+  const std::vector<std::size_t> Dead = reading();
+  Now_ += RelayRole::SilenceLimit;
+  LONGS_EQUAL(HostCount, reading().size());
+  for (const std::size_t Entry : Dead)
+    Views_[Entry].Alive_ = false;
   updateAll();
-  answerAll(true);
-  for (const std::size_t Each : asking())
-    CHECK(Each == Dead[0] || Each == Dead[1] || Views_[Each].Alive_);
-  LONGS_EQUAL(RelayRole::AskersPerRegion + Dead.size(), asking().size());
+  respondToAll(true);
+  for (const std::size_t Entry : reading())
+    CHECK(Entry == Dead[0] || Entry == Dead[1] || Views_[Entry].Alive_);
+  LONGS_EQUAL(RelayRole::MinReaders + Dead.size(), reading().size());
 }
 
-// The store refuses the hosts that ask, and serves all others. Those refused
-// say so, and the next two ask in their place.
-TEST(RelayRole, hostsThatTheStoreRefusesAreReplaced) {
-  answerAll(true);
-  const std::vector<std::size_t> Refused = asking();
-  for (const std::size_t Each : Refused) {
-    Roles_[Each].noteTrouble(Now_);
-    Views_[Each].StoreTrouble_ = true;
+// The store refuses the readers but serves all others. The readers report that,
+// and the next two replace them.
+TEST(RelayRole, readersThatTheStoreRefusesAreReplaced) {
+  respondToAll(true);
+  const std::vector<std::size_t> Failed = reading();
+  for (const std::size_t Entry : Failed) {
+    Roles_[Entry].noteTrouble(Now_);
+    Views_[Entry].StoreTrouble_ = true;
   }
   updateAll();
-  const std::vector<std::size_t> Asking = asking();
-  LONGS_EQUAL(RelayRole::AskersPerRegion, Asking.size());
-  for (const std::size_t Each : Asking)
-    CHECK_FALSE(Views_[Each].StoreTrouble_);
+  const std::vector<std::size_t> Reading = reading();
+  LONGS_EQUAL(RelayRole::MinReaders, Reading.size());
+  for (const std::size_t Entry : Reading)
+    CHECK_FALSE(Views_[Entry].StoreTrouble_);
 }
 
-// The store refuses everybody. Each host may try, and then all others together
-// no more often than the chosen few: refused calls are paid for, and a store in
-// trouble gets no better by being asked by all.
-TEST(RelayRole, whereTheStoreRefusesAllFewGoOnAsking) {
-  answerAll(false);
-  double Together = 0;
-  for (const RelayRole &Each : Roles_)
-    Together += 1 / Each.backoffFactor(Now_);
-  CHECK(Together <= 2.0 * RelayRole::AskersPerRegion);
-  // Where nobody answers nobody asks in its place, either.
-  Now_ += RelayRole::Silence;
-  for (const RelayRole &Each : Roles_)
-    DOUBLES_EQUAL(1, Each.backoffFactor(Now_), 0);
+// The store refuses all hosts. Each host may try once; after that all of them
+// together must not call more often than the readers alone would. Refused calls
+// are paid for, and more calls do not help a failing store.
+TEST(RelayRole, callRateStaysLowIfTheStoreRefusesAllHosts) {
+  respondToAll(false);
+  double CallRate = 0;
+  for (const RelayRole &Entry : Roles_)
+    CallRate += 1 / Entry.backoffFactor(Now_);
+  CHECK(CallRate <= 2.0 * RelayRole::MinReaders);
+  // If no host responds, none reads the store on behalf of the others either.
+  Now_ += RelayRole::SilenceLimit;
+  for (const RelayRole &Entry : Roles_)
+    DOUBLES_EQUAL(1, Entry.backoffFactor(Now_), 0);
 }
 
 // Two of three hosts are cut off from the store, and a single call of the third
-// was reset. All three say that they have trouble, and the two come first by
-// hash. The third must not wait for them: it asks on, and the call that comes
-// puts it before them.
-TEST(RelayRole, aHostThatTheStoreServesAsksThoughACallOfItFailed) {
-  answerAll(true);
-  const std::vector<std::size_t> CutOff = asking();
-  for (std::size_t Each = 0; Each < Roles_.size(); ++Each) {
-    Roles_[Each].noteTrouble(Now_);
-    Views_[Each].StoreTrouble_ = true;
+// was reset. All three report a failure, and the two rank first by hash. The
+// third must not wait for them: it goes on calling, and a successful call ranks
+// it before them.
+TEST(RelayRole, hostReadsTheStoreDespiteAFailedCall) {
+  respondToAll(true);
+  const std::vector<std::size_t> CutOff = reading();
+  for (std::size_t Entry = 0; Entry < Roles_.size(); ++Entry) {
+    Roles_[Entry].noteTrouble(Now_);
+    Views_[Entry].StoreTrouble_ = true;
   }
-  Now_ += Pace.Ask_ + Pace.AskSpread_;
-  answerAll(false);
-  LONGS_EQUAL(HostCount, asking().size());
-  for (std::size_t Each = 0; Each < Roles_.size(); ++Each)
-    if (Each != CutOff[0] && Each != CutOff[1]) {
-      Roles_[Each].noteSuccess();
-      Views_[Each].StoreTrouble_ = Roles_[Each].isInTrouble(Now_);
+  Now_ += Timeouts.ReadStoreAfter_ + Timeouts.ReadStoreSpread_;
+  respondToAll(false);
+  LONGS_EQUAL(HostCount, reading().size());
+  for (std::size_t Entry = 0; Entry < Roles_.size(); ++Entry)
+    if (Entry != CutOff[0] && Entry != CutOff[1]) {
+      Roles_[Entry].noteSuccess();
+      Views_[Entry].StoreTrouble_ = Roles_[Entry].isInTrouble(Now_);
     }
   updateAll();
-  answerAll(true);
-  LONGS_EQUAL(RelayRole::AskersPerRegion, asking().size());
-  for (const std::size_t Each : asking())
-    CHECK(Each != CutOff[0] && Each != CutOff[1]);
+  respondToAll(true);
+  LONGS_EQUAL(RelayRole::MinReaders, reading().size());
+  for (const std::size_t Entry : reading())
+    CHECK(Entry != CutOff[0] && Entry != CutOff[1]);
 }
 
-// The hosts that ask answer, but hear nothing themselves: their view of who
-// asks differs. What they told last grows old, and then this host asks.
-TEST(RelayRole, answersWithoutSubstanceAreNotWaitedForForLong) {
-  answerAll(true);
-  Now_ += Pace.Ask_ - 1ms;
-  answerAll(false);
-  LONGS_EQUAL(RelayRole::AskersPerRegion, asking().size());
-  Now_ += Pace.AskSpread_ + 1ms;
-  LONGS_EQUAL(HostCount, asking().size());
+// The readers respond but have no recent updates, because they see other hosts
+// as readers. Once their last update is too old, this host must read the store
+// itself.
+TEST(RelayRole, outdatedUpdatesAreNotReliedOnForLong) {
+  respondToAll(true);
+  Now_ += Timeouts.ReadStoreAfter_ - 1ms;
+  respondToAll(false);
+  LONGS_EQUAL(RelayRole::MinReaders, reading().size());
+  Now_ += Timeouts.ReadStoreSpread_ + 1ms;
+  LONGS_EQUAL(HostCount, reading().size());
 }
 
-TEST(RelayRole, aHostThatLeavesDoesNotAsk) {
-  RelayRole Role(cardOf(1), Pace);
+TEST(RelayRole, leavingHostDoesNotReadTheStore) {
+  RelayRole Role(descriptorOf(1), Timeouts);
   const std::vector<members::HostView> Others = {viewOf(2)};
   Role.update(Others, true, Now_);
-  Role.noteAnswer("127.0.0.2", Now_, Now_);
+  Role.noteResponse("127.0.0.2", Now_, Now_);
   CHECK_FALSE(Role.mustReadStore(Now_));
 }
