--- a/libs/dispatch/ColdTargetRateLimiter.cpp
+++ b/libs/dispatch/ColdTargetRateLimiter.cpp
@@ -3,7 +3,7 @@
 namespace lychee::dispatch {
 
 bool ColdTargetRateLimiter::tryAcquire(double RatePerSecond,
-                                 base::TimePoint Now) noexcept {
+                                       base::TimePoint Now) noexcept {
   if (Now < NextAllowed_)
     return false;
   const double Rate = RatePerSecond > 0 ? RatePerSecond : DefaultRatePerSecond;
--- a/libs/dispatch/CustomerRateLimiter.cpp
+++ b/libs/dispatch/CustomerRateLimiter.cpp
@@ -33,9 +33,9 @@
 } // namespace
 
 void CustomerRateLimiter::TokenBucket::refill(double PerSecond, double Capacity,
-                                       base::TimePoint Now) noexcept {
-  Tokens_ =
-      std::min(Tokens_ + base::toSeconds(Now - RefilledAt_) * PerSecond, Capacity);
+                                              base::TimePoint Now) noexcept {
+  Tokens_ = std::min(Tokens_ + base::toSeconds(Now - RefilledAt_) * PerSecond,
+                     Capacity);
   RefilledAt_ = Now;
 }
 
@@ -45,7 +45,8 @@
     Tokens_ -= 1;
     return std::nullopt;
   }
-  return base::fromSeconds((1 - Tokens_) / std::max(MinRatePerSecond, PerSecond));
+  return base::fromSeconds((1 - Tokens_) /
+                           std::max(MinRatePerSecond, PerSecond));
 }
 
 void CustomerRateLimiter::setCustomers(
@@ -59,7 +60,8 @@
     if (const auto Old = Customers_.find(Rule.Id_); Old != Customers_.end())
       State = std::move(Old->second);
     if (State.Owner_.empty())
-      State.RegionBucket_.refill(State.regionRate(), State.MaxRegionTokens_, Now);
+      State.RegionBucket_.refill(State.regionRate(), State.MaxRegionTokens_,
+                                 Now);
     State.Rate_ = Rule.RatePerSecond_;
     State.Burst_ = Rule.Burst_;
     Next.emplace(Rule.Id_, std::move(State));
@@ -67,11 +69,13 @@
   Customers_ = std::move(Next);
 }
 
-double CustomerRateLimiter::totalCapacity(const CustomerState &State) const noexcept {
+double
+CustomerRateLimiter::totalCapacity(const CustomerState &State) const noexcept {
   const double AllowedInWindow =
       State.Rate_ * base::toSeconds(Bounds_.RateWindow_) + State.Burst_;
   return State.Burst_ * UsedShare +
-         UsedSlackShare * (AllowedInWindow * Bounds_.RateOverage_ + Bounds_.RateSlack_);
+         UsedSlackShare *
+             (AllowedInWindow * Bounds_.RateOverage_ + Bounds_.RateSlack_);
 }
 
 std::map<base::CustomerId, CustomerRateLimiter::ReportedDemand>
@@ -114,19 +118,22 @@
     }
   }
   const auto AddressOf = [&Self](const members::HostDescriptor *Candidate) {
-    return Candidate == nullptr || Candidate->Address_ == Self ? std::string()
-                                                     : Candidate->Address_;
+    return Candidate == nullptr || Candidate->Address_ == Self
+               ? std::string()
+               : Candidate->Address_;
   };
   State.Owner_ = AddressOf(First);
   State.BackupOwner_ = AddressOf(Second);
 }
 
-void CustomerRateLimiter::updateShare(CustomerState &State, const ReportedDemand &Others,
-                                    const FleetDemand &Fleet,
-                                    base::TimePoint Now) const {
+void CustomerRateLimiter::updateShare(CustomerState &State,
+                                      const ReportedDemand &Others,
+                                      const FleetDemand &Fleet,
+                                      base::TimePoint Now) const {
   const double Even =
       1.0 / static_cast<double>(std::max<std::size_t>(1, Fleet.RegionCount_));
-  const double MinDemand = std::min(MinRegionDemand, State.Rate_ * MinRegionDemandShare);
+  const double MinDemand =
+      std::min(MinRegionDemand, State.Rate_ * MinRegionDemandShare);
   const double OwnNow = State.Demand_.perSecond(Now);
   State.HostDemand_.record(OwnNow, Now);
   State.RegionDemand_.record(OwnNow + Others.Region_, Now);
@@ -140,33 +147,40 @@
     State.RegionShare_ = std::min(State.RegionShare_, Even * StartupShare);
   State.MaxRegionTokens_ = std::max(
       1.0, totalCapacity(State) *
-               (State.RegionShare_ + std::min(Even, State.RegionShare_ * MaxBurstShareRatio)) / 2);
+               (State.RegionShare_ +
+                std::min(Even, State.RegionShare_ * MaxBurstShareRatio)) /
+               2);
 }
 
-void CustomerRateLimiter::limitToHostShare(CustomerState &State, base::TimePoint Now) noexcept {
+void CustomerRateLimiter::limitToHostShare(CustomerState &State,
+                                           base::TimePoint Now) noexcept {
   if (!State.Owner_.empty() || State.RegionShare_ <= State.HostShare_)
     return;
   State.RegionBucket_.refill(State.regionRate(), State.MaxRegionTokens_, Now);
-  State.MaxRegionTokens_ = std::max(1.0, State.MaxRegionTokens_ * State.HostShare_ / State.RegionShare_);
+  State.MaxRegionTokens_ = std::max(
+      1.0, State.MaxRegionTokens_ * State.HostShare_ / State.RegionShare_);
   State.RegionShare_ = State.HostShare_;
 }
 
 void CustomerRateLimiter::redistribute(const FleetDemand &Fleet,
-                                 base::TimePoint Now) {
+                                       base::TimePoint Now) {
   if (Fleet.IsCutOff_) {
     for (auto &[Customer, State] : Customers_)
       limitToHostShare(State, Now);
     return;
   }
   const std::map<base::CustomerId, ReportedDemand> Sums = sumDemands(Fleet);
-  const std::vector<const members::HostDescriptor *> Candidates = ownerCandidates(Fleet);
+  const std::vector<const members::HostDescriptor *> Candidates =
+      ownerCandidates(Fleet);
   for (auto &[Customer, State] : Customers_) {
     if (State.Owner_.empty())
-      State.RegionBucket_.refill(State.regionRate(), State.MaxRegionTokens_, Now);
+      State.RegionBucket_.refill(State.regionRate(), State.MaxRegionTokens_,
+                                 Now);
     const auto Sum = Sums.find(Customer);
-    updateShare(State, Sum == Sums.end() ? ReportedDemand() : Sum->second, Fleet, Now);
+    updateShare(State, Sum == Sums.end() ? ReportedDemand() : Sum->second,
+                Fleet, Now);
     selectOwner(State, base::stableHash(Customer.name()), Candidates,
-               Fleet.Self_.Address_);
+                Fleet.Self_.Address_);
     // Tokens that another host owns now are no longer this one's to grant.
     if (!State.Owner_.empty())
       State.RegionBucket_ = {0, Now};
@@ -174,7 +188,7 @@
 }
 
 RateLimitDecision CustomerRateLimiter::take(const base::CustomerId &Customer,
-                                      base::TimePoint Now) {
+                                            base::TimePoint Now) {
   const auto Found = Customers_.find(Customer);
   if (Found == Customers_.end())
     return {};
@@ -183,7 +197,10 @@
   if (State.Rate_ <= 0)
     return {};
   if (!State.Owner_.empty())
-    return {RateLimitDecision::Kind::AskOwner, {}, State.Owner_, State.BackupOwner_};
+    return {RateLimitDecision::Kind::AskOwner,
+            {},
+            State.Owner_,
+            State.BackupOwner_};
   if (const auto Wait = takeForPeer(Customer, Now))
     return {RateLimitDecision::Kind::Denied, *Wait, {}, {}};
   return {};
@@ -191,7 +208,7 @@
 
 std::optional<base::Duration>
 CustomerRateLimiter::takeForPeer(const base::CustomerId &Customer,
-                             base::TimePoint Now) {
+                                 base::TimePoint Now) {
   const auto Found = Customers_.find(Customer);
   if (Found == Customers_.end() || Found->second.Rate_ <= 0)
     return std::nullopt;
@@ -199,13 +216,14 @@
   const bool IsOwner = State.Owner_.empty();
   const double PerSecond = State.regionRate() * (IsOwner ? 1 : BackupShare);
   TokenBucket &Bucket = IsOwner ? State.RegionBucket_ : State.BackupBucket_;
-  Bucket.refill(PerSecond, IsOwner ? State.MaxRegionTokens_ : MaxBackupTokens, Now);
+  Bucket.refill(PerSecond, IsOwner ? State.MaxRegionTokens_ : MaxBackupTokens,
+                Now);
   return Bucket.take(PerSecond);
 }
 
 std::optional<base::Duration>
 CustomerRateLimiter::takeFallback(const base::CustomerId &Customer,
-                               base::TimePoint Now) {
+                                  base::TimePoint Now) {
   const auto Found = Customers_.find(Customer);
   if (Found == Customers_.end())
     return std::nullopt;
--- a/libs/dispatch/CustomerRateLimiter.h
+++ b/libs/dispatch/CustomerRateLimiter.h
@@ -3,8 +3,8 @@
 
 #include "base/Id.h"
 #include "base/Time.h"
-#include "dispatch/SampleHistory.h"
 #include "dispatch/DecayingRate.h"
+#include "dispatch/SampleHistory.h"
 #include "live/Intent.h"
 #include "members/HostTable.h"
 
@@ -142,11 +142,11 @@
   /// Takes a token for a request that another host of the region counted.
   /// \returns nothing: the token was taken; else the time until there is one.
   std::optional<base::Duration> takeForPeer(const base::CustomerId &Customer,
-                                        base::TimePoint Now);
+                                            base::TimePoint Now);
 
   /// The same for a request of this host whose owners do not respond.
   std::optional<base::Duration> takeFallback(const base::CustomerId &Customer,
-                                          base::TimePoint Now);
+                                             base::TimePoint Now);
 
   /// \returns the demand that this host announces to the others.
   std::vector<members::CustomerDemand> demands(base::TimePoint Now);
@@ -158,7 +158,8 @@
     double Tokens_ = 0;
     base::TimePoint RefilledAt_;
 
-    void refill(double PerSecond, double Capacity, base::TimePoint Now) noexcept;
+    void refill(double PerSecond, double Capacity,
+                base::TimePoint Now) noexcept;
     std::optional<base::Duration> take(double PerSecond) noexcept;
   };
 
@@ -181,7 +182,9 @@
     SampleHistory RegionDemand_;
     SampleHistory HostDemand_;
 
-    double regionRate() const noexcept { return Rate_ * RegionShare_ * UsedShare; }
+    double regionRate() const noexcept {
+      return Rate_ * RegionShare_ * UsedShare;
+    }
   };
 
   /// Other hosts' demand of one customer, in this region and in total.
@@ -190,15 +193,17 @@
     double Total_ = 0;
   };
 
-  static std::map<base::CustomerId, ReportedDemand> sumDemands(const FleetDemand &Fleet);
+  static std::map<base::CustomerId, ReportedDemand>
+  sumDemands(const FleetDemand &Fleet);
   static void
   selectOwner(CustomerState &State, std::uint64_t Hash,
-             std::span<const members::HostDescriptor *const> Candidates,
-             const std::string &Self);
+              std::span<const members::HostDescriptor *const> Candidates,
+              const std::string &Self);
   /// Reduces the region's share to this host's own, where it is cut off.
-  static void limitToHostShare(CustomerState &State, base::TimePoint Now) noexcept;
-  void updateShare(CustomerState &State, const ReportedDemand &Others, const FleetDemand &Fleet,
-                 base::TimePoint Now) const;
+  static void limitToHostShare(CustomerState &State,
+                               base::TimePoint Now) noexcept;
+  void updateShare(CustomerState &State, const ReportedDemand &Others,
+                   const FleetDemand &Fleet, base::TimePoint Now) const;
 
   /// \returns the tokens that all buckets of a customer may hold together.
   double totalCapacity(const CustomerState &State) const noexcept;
--- a/libs/dispatch/DecayingRate.h
+++ b/libs/dispatch/DecayingRate.h
@@ -27,7 +27,8 @@
 
 private:
   void decay(base::TimePoint Now) noexcept {
-    Sum_ *= std::exp(-base::toSeconds(Now - Updated_) / base::toSeconds(DecayTime));
+    Sum_ *=
+        std::exp(-base::toSeconds(Now - Updated_) / base::toSeconds(DecayTime));
     Updated_ = Now;
   }
 
--- a/libs/dispatch/DispatchLearning.cpp
+++ b/libs/dispatch/DispatchLearning.cpp
@@ -24,34 +24,39 @@
 
 } // namespace
 
-void DispatchSteering::recordExecutionTime(const InFlightRequest &Request, TargetState &Target,
-                                 const SendReport &Report) {
+void DispatchSteering::recordExecutionTime(const InFlightRequest &Request,
+                                           TargetState &Target,
+                                           const SendReport &Report) {
   ExecutionTimes &Times = executionTimesOf(Request);
   const double Measured =
       std::max(ExecutionTimes::MinRunSeconds, base::toSeconds(Report.Took_));
   const double ExpectedWait = base::toSeconds(Request.ExpectedWait_);
   const double ExpectedRun = Times.wasWarm(Measured, Request.KnownWarm_)
-                         ? Times.warmSeconds()
-                         : Times.coldSeconds();
-  const double Ratio =
-      std::clamp(Measured / (ExpectedRun + ExpectedWait), MinSlowness, MaxSlowness);
+                                 ? Times.warmSeconds()
+                                 : Times.coldSeconds();
+  const double Ratio = std::clamp(Measured / (ExpectedRun + ExpectedWait),
+                                  MinSlowness, MaxSlowness);
   Target.Slowness_ += SlownessWeight * (Ratio - Target.Slowness_);
   // Where requests are queued, this one most likely was, too; its wait is an
   // estimate, so at most half of the measured time is deducted.
   const bool Queued = Report.Load_ && Report.Load_->Waiting_ > 0;
-  Times.record(Queued ? std::max(Measured - ExpectedWait, Measured / 2) : Measured,
-            Request.KnownWarm_);
+  Times.record(Queued ? std::max(Measured - ExpectedWait, Measured / 2)
+                      : Measured,
+               Request.KnownWarm_);
 }
 
-void DispatchSteering::recordOutcome(const InFlightRequest &Request, TargetState *Target,
-                             const SendReport &Report, base::TimePoint Now) {
+void DispatchSteering::recordOutcome(const InFlightRequest &Request,
+                                     TargetState *Target,
+                                     const SendReport &Report,
+                                     base::TimePoint Now) {
   if (Target == nullptr)
     return;
   Target->Load_.recordEnd();
   if (Report.Load_) {
     Target->Load_.recordReport(*Report.Load_, Now);
     serviceState(Request.Service_)
-        .RegionLoads_.recordReport(Target->Region_, Target->Load_.othersPerSlot(), Now);
+        .RegionLoads_.recordReport(Target->Region_,
+                                   Target->Load_.othersPerSlot(), Now);
   }
   switch (Report.Outcome_) {
   case SendOutcome::Answered:
@@ -94,8 +99,8 @@
 }
 
 void DispatchSteering::recordLoss(const InFlightRequest &Request,
-                                const base::TargetId &Target,
-                                base::TimePoint Now) {
+                                  const base::TargetId &Target,
+                                  base::TimePoint Now) {
   if (LostRequests_.size() >= MaxLostRequests)
     LostRequests_.erase(LostRequests_.begin());
   LostRequests_.push_back({Request.Fingerprint_, Target, Now});
@@ -105,7 +110,7 @@
 /// lost. Only where the target is found down right after may the request have
 /// crashed it.
 void DispatchSteering::recordTargetDown(const base::TargetId &Target,
-                                base::TimePoint Now) {
+                                        base::TimePoint Now) {
   for (const LostRequest &Lost : LostRequests_)
     if (Lost.Target_ == Target && Now - Lost.Time_ < CrashDetectionTime)
       CrashSuspects_.recordTargetLoss(Lost.Fingerprint_, Target, Now);
--- a/libs/dispatch/DispatchSteering.cpp
+++ b/libs/dispatch/DispatchSteering.cpp
@@ -40,7 +40,8 @@
 } // namespace
 
 DispatchSteering::DispatchSteering(const DispatchSettings &Settings,
-                                   DispatchCallbacks Callbacks, base::TimePoint Now)
+                                   DispatchCallbacks Callbacks,
+                                   base::TimePoint Now)
     : Settings_(Settings), Callbacks_(std::move(Callbacks)),
       Chooser_(Settings.Region_, Settings.Zone_), Random_(Settings.Seed_),
       RateLimiter_(Settings.Bounds_, Now) {}
@@ -52,20 +53,20 @@
     return Found->second;
   const live::DeploymentBounds &Bounds = Settings_.Bounds_;
   return Services_
-      .emplace(Service,
-               ServiceState{{},
-                            SharedRetryBudget(Bounds.RetryRatio_, Bounds.RetrySlack_),
-                            RegionSplit(Settings_.Region_),
-                            {},
-                            {},
-                            0,
-                            0,
-                            {}})
+      .emplace(Service, ServiceState{{},
+                                     SharedRetryBudget(Bounds.RetryRatio_,
+                                                       Bounds.RetrySlack_),
+                                     RegionSplit(Settings_.Region_),
+                                     {},
+                                     {},
+                                     0,
+                                     0,
+                                     {}})
       .first->second;
 }
 
 TargetState *DispatchSteering::findTarget(ServiceState &Service,
-                                    const base::TargetId &Target) {
+                                          const base::TargetId &Target) {
   const auto Found =
       std::find_if(Service.Targets_.begin(), Service.Targets_.end(),
                    [&Target](const TargetState &Candidate) {
@@ -74,7 +75,8 @@
   return Found == Service.Targets_.end() ? nullptr : &*Found;
 }
 
-ExecutionTimes &DispatchSteering::executionTimesOf(const InFlightRequest &Request) {
+ExecutionTimes &
+DispatchSteering::executionTimesOf(const InFlightRequest &Request) {
   return ExecutionTimes_.try_emplace(Request.Rule_, Request.LatencyObjective_)
       .first->second;
 }
@@ -104,8 +106,8 @@
   Request.Homes_ = Arrived.Homes_;
   Request.Deadline_ = Arrived.Deadline_;
   Request.ObjectiveAt_ = Arrived.LatencyObjective_ > base::Duration::zero()
-                           ? Arrived.ArrivedAt_ + Arrived.LatencyObjective_
-                           : Arrived.Deadline_;
+                             ? Arrived.ArrivedAt_ + Arrived.LatencyObjective_
+                             : Arrived.Deadline_;
   Request.LatencyObjective_ = Arrived.LatencyObjective_;
   Request.Idempotent_ = Arrived.Idempotent_;
   Request.MaxSends_ = std::max(1U, Arrived.MaxSends_);
@@ -141,16 +143,17 @@
   return send(Ticket, Request, Now);
 }
 
-std::optional<Choice> DispatchSteering::chooseTarget(const InFlightRequest &Request,
-                                               base::TimePoint Now) {
+std::optional<Choice>
+DispatchSteering::chooseTarget(const InFlightRequest &Request,
+                               base::TimePoint Now) {
   ServiceState &Service = serviceState(Request.Service_);
   ChoiceQuery Query;
   Query.Object_ = Request.Object_;
   Query.BodyBytes_ = Request.BodyBytes_;
   Query.Homes_ = Request.Homes_ ? &*Request.Homes_ : nullptr;
   Query.TriedTargets_ = Request.TriedTargets_;
-  Query.Region_ = Service.RegionSplit_.regionFor(Request.Object_, Request.BodyBytes_,
-                                           Query.Homes_);
+  Query.Region_ = Service.RegionSplit_.regionFor(
+      Request.Object_, Request.BodyBytes_, Query.Homes_);
   Query.ExecutionTimes_ = executionTimesOf(Request);
   Query.RegionLoads_ = &Service.RegionLoads_;
   const auto MayProbe = [&](TargetState &Target) {
@@ -161,39 +164,47 @@
 }
 
 base::Duration DispatchSteering::responseTimeout(const InFlightRequest &Request,
-                                             const Choice &Chosen) {
+                                                 const Choice &Chosen) {
   const double Waiting = base::toSeconds(Chosen.ExpectedWait_);
-  const double Expected = base::toSeconds(Chosen.ExpectedResponseTime_) - Waiting;
-  const double Cold = executionTimesOf(Request).coldSeconds() * Chosen.Target_->Slowness_;
-  return std::max(MinResponseTimeout,
-                  base::fromSeconds(Waiting * WaitTimeoutFactor +
-                                    std::max(Expected, Cold) * RunTimeoutFactor));
+  const double Expected =
+      base::toSeconds(Chosen.ExpectedResponseTime_) - Waiting;
+  const double Cold =
+      executionTimesOf(Request).coldSeconds() * Chosen.Target_->Slowness_;
+  return std::max(
+      MinResponseTimeout,
+      base::fromSeconds(Waiting * WaitTimeoutFactor +
+                        std::max(Expected, Cold) * RunTimeoutFactor));
 }
 
-void DispatchSteering::recordLateness(const InFlightRequest &Request, const Choice &Chosen,
-                                    base::TimePoint Now) {
+void DispatchSteering::recordLateness(const InFlightRequest &Request,
+                                      const Choice &Chosen,
+                                      base::TimePoint Now) {
   if (Request.ObjectiveAt_ >= Request.Deadline_)
     return;
   double &LateShare = serviceState(Request.Service_).LateShare_;
   const bool Waits = Chosen.ExpectedWait_ > base::Duration::zero();
-  const bool IsLate = Waits && Now + Chosen.ExpectedResponseTime_ > Request.ObjectiveAt_;
+  const bool IsLate =
+      Waits && Now + Chosen.ExpectedResponseTime_ > Request.ObjectiveAt_;
   LateShare += LatenessWeight * ((IsLate ? 1 : 0) - LateShare);
 }
 
-base::TimePoint DispatchSteering::latestAnswerTime(const InFlightRequest &Request,
-                                            const Choice &Chosen) {
+base::TimePoint
+DispatchSteering::latestAnswerTime(const InFlightRequest &Request,
+                                   const Choice &Chosen) {
   const bool Waits = Chosen.ExpectedWait_ > base::Duration::zero();
   if (Request.ObjectiveAt_ >= Request.Deadline_ || !Waits)
     return Request.Deadline_;
   const double LateShare = serviceState(Request.Service_).LateShare_;
-  const double WaitShare = MaxWaitShare * std::max(0.0, 1 - LateShare / MaxLateShare);
+  const double WaitShare =
+      MaxWaitShare * std::max(0.0, 1 - LateShare / MaxLateShare);
   const double MaxWaitSeconds =
       base::toSeconds(Request.Deadline_ - Request.ObjectiveAt_) * WaitShare;
   return Request.ObjectiveAt_ + base::fromSeconds(MaxWaitSeconds);
 }
 
-bool DispatchSteering::canAnswerInTime(const InFlightRequest &Request, const Choice &Chosen,
-                              base::TimePoint Now) {
+bool DispatchSteering::canAnswerInTime(const InFlightRequest &Request,
+                                       const Choice &Chosen,
+                                       base::TimePoint Now) {
   return Now + Chosen.ExpectedResponseTime_ < latestAnswerTime(Request, Chosen);
 }
 
@@ -205,13 +216,13 @@
   // A request that cannot be answered in time is not sent: it would take a slot
   // from one that can, and its caller gains nothing by waiting.
   TargetState &Target = *Chosen->Target_;
-  const steering::ChoiceInputs Inputs{static_cast<std::uint32_t>(Chosen->Rank_),
-                                      Chosen->ExpectedResponseTime_, Chosen->Load_,
-                                      Target.Load_.reportAge(Now)};
+  const steering::ChoiceInputs Inputs{
+      static_cast<std::uint32_t>(Chosen->Rank_), Chosen->ExpectedResponseTime_,
+      Chosen->Load_, Target.Load_.reportAge(Now)};
   recordLateness(Request, *Chosen, Now);
   if (!canAnswerInTime(Request, *Chosen, Now)) {
-    Decision Refused =
-        endRequest(Ticket, false, std::max(Chosen->ExpectedWait_, MinRetryAfter));
+    Decision Refused = endRequest(
+        Ticket, false, std::max(Chosen->ExpectedWait_, MinRetryAfter));
     Refused.Inputs_ = Inputs;
     return Refused;
   }
@@ -245,7 +256,8 @@
   const auto Other = chooseTarget(Request, Now);
   if (!Other || Now + Other->ExpectedResponseTime_ >= Request.Deadline_)
     return false;
-  Request.RetryReserved_ = serviceState(Request.Service_).RetryBudget_.trySpend();
+  Request.RetryReserved_ =
+      serviceState(Request.Service_).RetryBudget_.trySpend();
   return Request.RetryReserved_;
 }
 
@@ -260,7 +272,8 @@
   if (Found == InFlight_.end() || Found->second.TriedTargets_.empty())
     return false;
   ServiceState &Service = serviceState(Found->second.Service_);
-  const TargetState *Target = findTarget(Service, Found->second.TriedTargets_.back());
+  const TargetState *Target =
+      findTarget(Service, Found->second.TriedTargets_.back());
   return Target != nullptr && !Target->Record_.Leaving_ &&
          !Target->Evacuated_ && !Target->AddressReused_ &&
          Service.RetryBudget_.trySpend();
@@ -270,7 +283,7 @@
 /// that may have run is never refused with an answer that states that it did
 /// not.
 Decision DispatchSteering::endRequest(std::uint64_t Ticket, bool ByTarget,
-                                     base::Duration RetryAfter) {
+                                      base::Duration RetryAfter) {
   const auto Found = InFlight_.find(Ticket);
   const bool MayHaveRun = Found->second.MayHaveRun_;
   if (Found->second.RetryReserved_)
@@ -283,7 +296,7 @@
 }
 
 bool DispatchSteering::mayRetry(const InFlightRequest &Request,
-                                 const SendReport &Report) {
+                                const SendReport &Report) {
   const bool OwnFailure = Report.Outcome_ == SendOutcome::Answered &&
                           Report.Status_ >= MinServerError;
   if (OwnFailure)
@@ -302,8 +315,9 @@
     return {};
   InFlightRequest &Request = Found->second;
   ServiceState &Service = serviceState(Request.Service_);
-  TargetState *Target =
-      Request.TriedTargets_.empty() ? nullptr : findTarget(Service, Request.TriedTargets_.back());
+  TargetState *Target = Request.TriedTargets_.empty()
+                            ? nullptr
+                            : findTarget(Service, Request.TriedTargets_.back());
   recordOutcome(Request, Target, Report, Now);
   const bool Reached = Report.Outcome_ != SendOutcome::ConnectFailed &&
                        Report.Outcome_ != SendOutcome::ClosedBeforeWrite;
@@ -321,7 +335,8 @@
           {Report.Outcome_, Request.Idempotent_, Report.AnswerStarted_})
           .Ran_;
   Request.MayHaveRun_ = Request.MayHaveRun_ || Ran != retrying::Ran::No;
-  bool Retries = mayRetry(Request, Report) && Request.UndeliveredSends_ <= MaxUndeliveredSends;
+  bool Retries = mayRetry(Request, Report) &&
+                 Request.UndeliveredSends_ <= MaxUndeliveredSends;
   // A send that reached no target causes no second arrival, so its retry takes
   // no token.
   if (Retries && Reached && !Request.RetryReserved_)
@@ -331,8 +346,8 @@
   if (Retries)
     return send(Ticket, Request, Now);
   const bool Ended = Report.Outcome_ == SendOutcome::Answered ||
-                    Report.Outcome_ == SendOutcome::Cancelled ||
-                    Report.Outcome_ == SendOutcome::CancelledBeforeWrite;
+                     Report.Outcome_ == SendOutcome::Cancelled ||
+                     Report.Outcome_ == SendOutcome::CancelledBeforeWrite;
   Decision Result =
       endRequest(Ticket, Report.Outcome_ != SendOutcome::Shed, MinRetryAfter);
   return Ended ? Decision() : Result;
--- a/libs/dispatch/DispatchSteering.h
+++ b/libs/dispatch/DispatchSteering.h
@@ -61,8 +61,8 @@
   /// neither host waits for its processor.
   static constexpr base::Duration TokenTimeout = std::chrono::milliseconds(60);
 
-  DispatchSteering(const DispatchSettings &Settings, DispatchCallbacks Callbacks,
-                   base::TimePoint Now);
+  DispatchSteering(const DispatchSettings &Settings,
+                   DispatchCallbacks Callbacks, base::TimePoint Now);
 
   // Configuration and state of the deployment.
   void setIntent(std::shared_ptr<const live::Intent> NewIntent,
@@ -82,7 +82,8 @@
   std::vector<members::ServiceDemand> serviceDemands(base::TimePoint Now);
   /// \returns the execution times that were learned, by rule.
   std::vector<members::RuleExecutionTimes> executionTimes() const;
-  void mergeExecutionTimes(std::span<const members::RuleExecutionTimes> Announced);
+  void
+  mergeExecutionTimes(std::span<const members::RuleExecutionTimes> Announced);
   std::vector<retrying::CrashEvidence>
   crashEvidence(base::TimePoint Now) const {
     return CrashSuspects_.evidence(Now);
@@ -190,7 +191,8 @@
   ServiceState &serviceState(const base::ServiceId &Service);
   TargetState *findTarget(ServiceState &Service, const base::TargetId &Target);
   ExecutionTimes &executionTimesOf(const InFlightRequest &Request);
-  std::optional<Choice> chooseTarget(const InFlightRequest &Request, base::TimePoint Now);
+  std::optional<Choice> chooseTarget(const InFlightRequest &Request,
+                                     base::TimePoint Now);
   /// Decides on a request that passed its customer's rate limit.
   steering::Decision admit(std::uint64_t Ticket, InFlightRequest &Request,
                            base::TimePoint Now);
@@ -200,33 +202,38 @@
   steering::Decision endTokenWait(std::uint64_t Ticket,
                                   std::optional<base::Duration> Wait,
                                   base::TimePoint Now);
-  steering::Decision refuseRateLimited(std::uint64_t Ticket, base::Duration Wait);
+  steering::Decision refuseRateLimited(std::uint64_t Ticket,
+                                       base::Duration Wait);
   steering::Decision send(std::uint64_t Ticket, InFlightRequest &Request,
                           base::TimePoint Now);
   steering::Decision refuse(steering::Refusal Why, base::Duration RetryAfter,
                             bool MayHaveRun) const;
   steering::Decision endRequest(std::uint64_t Ticket, bool ByTarget,
-                               base::Duration RetryAfter);
+                                base::Duration RetryAfter);
   void recordOutcome(const InFlightRequest &Request, TargetState *Target,
-             const steering::SendReport &Report, base::TimePoint Now);
+                     const steering::SendReport &Report, base::TimePoint Now);
   void recordExecutionTime(const InFlightRequest &Request, TargetState &Target,
-                 const steering::SendReport &Report);
-  base::Duration responseTimeout(const InFlightRequest &Request, const Choice &Chosen);
+                           const steering::SendReport &Report);
+  base::Duration responseTimeout(const InFlightRequest &Request,
+                                 const Choice &Chosen);
   /// Updates the share of requests that would be late because they wait.
   void recordLateness(const InFlightRequest &Request, const Choice &Chosen,
-                    base::TimePoint Now);
+                      base::TimePoint Now);
   /// \returns the time by which a request must be answered, else it is refused
   /// at once.
-  base::TimePoint latestAnswerTime(const InFlightRequest &Request, const Choice &Chosen);
-  bool canAnswerInTime(const InFlightRequest &Request, const Choice &Chosen, base::TimePoint Now);
-  bool mayRetry(const InFlightRequest &Request, const steering::SendReport &Report);
+  base::TimePoint latestAnswerTime(const InFlightRequest &Request,
+                                   const Choice &Chosen);
+  bool canAnswerInTime(const InFlightRequest &Request, const Choice &Chosen,
+                       base::TimePoint Now);
+  bool mayRetry(const InFlightRequest &Request,
+                const steering::SendReport &Report);
   /// Adds the demand for a service of each region's callers.
   void addDemands(const base::ServiceId &Id, ServiceState &Service,
-                    const FleetDemand &Fleet, base::TimePoint Now,
-                    std::map<base::RegionId, RegionLoad> &Result);
+                  const FleetDemand &Fleet, base::TimePoint Now,
+                  std::map<base::RegionId, RegionLoad> &Result);
   void updateRegionSplits(const FleetDemand &Fleet, base::TimePoint Now);
   void recordLoss(const InFlightRequest &Request, const base::TargetId &Target,
-                base::TimePoint Now);
+                  base::TimePoint Now);
   void recordTargetDown(const base::TargetId &Target, base::TimePoint Now);
 
   const DispatchSettings Settings_;
--- a/libs/dispatch/DispatchTokens.cpp
+++ b/libs/dispatch/DispatchTokens.cpp
@@ -18,7 +18,7 @@
 } // namespace
 
 Decision DispatchSteering::refuseRateLimited(std::uint64_t Ticket,
-                                          base::Duration Wait) {
+                                             base::Duration Wait) {
   InFlight_.erase(Ticket);
   return refuse(Refusal::RateLimited, std::max(Wait, MinRateRetryAfter), false);
 }
@@ -86,14 +86,16 @@
       TimedOut.push_back(Ticket);
       continue;
     }
-    Callbacks_.RequestToken_(std::exchange(Pending.BackupOwner_, {}), Ticket, Pending.Customer_);
+    Callbacks_.RequestToken_(std::exchange(Pending.BackupOwner_, {}), Ticket,
+                             Pending.Customer_);
     Pending.TimeoutAt_ = Now + TokenTimeout;
     Pending.AwaitsBoth_ = true;
   }
   for (const std::uint64_t Ticket : TimedOut) {
     const TokenWait &Pending = TokenWaits_[Ticket];
-    const auto Wait =
-        Pending.DeniedWait_ ? Pending.DeniedWait_ : RateLimiter_.takeFallback(Pending.Customer_, Now);
+    const auto Wait = Pending.DeniedWait_
+                          ? Pending.DeniedWait_
+                          : RateLimiter_.takeFallback(Pending.Customer_, Now);
     Woken.push_back({Ticket, endTokenWait(Ticket, Wait, Now)});
   }
 }
--- a/libs/dispatch/DispatchUpdates.cpp
+++ b/libs/dispatch/DispatchUpdates.cpp
@@ -56,7 +56,8 @@
       Target.Evacuated_ = Zones.contains(Target.Record_.Zone_);
       // Targets without work go cold, and their entries may not show it yet.
       if (WasEvacuated && !Target.Evacuated_)
-        Target.ColdUntil_ = std::max(Target.ColdUntil_, Now + Service.ColdTime_);
+        Target.ColdUntil_ =
+            std::max(Target.ColdUntil_, Now + Service.ColdTime_);
     }
 }
 
@@ -72,18 +73,19 @@
     const base::ServiceId &Id, ServiceState &Service, const FleetDemand &Fleet,
     base::TimePoint Now, std::map<base::RegionId, RegionLoad> &Result) {
   const auto Count = [&Result](const base::RegionId &From,
-                             const base::RegionId &BoundTo, double Slots) {
+                               const base::RegionId &BoundTo, double Slots) {
     if (BoundTo.empty())
       Result[From].Demand_ += Slots;
     else
       Result[BoundTo].BoundDemand_ += Slots;
   };
-  const auto CountAnnounced = [&](const base::RegionId &From,
-                             std::span<const members::ServiceDemand> Loads) {
-    for (const members::ServiceDemand &Announced : Loads)
-      if (Announced.Service_ == Id)
-        Count(From, Announced.BoundTo_, Announced.Slots_);
-  };
+  const auto CountAnnounced =
+      [&](const base::RegionId &From,
+          std::span<const members::ServiceDemand> Loads) {
+        for (const members::ServiceDemand &Announced : Loads)
+          if (Announced.Service_ == Id)
+            Count(From, Announced.BoundTo_, Announced.Slots_);
+      };
   Result[Settings_.Region_];
   for (auto &[BoundTo, Demand] : Service.Demands_)
     Count(Settings_.Region_, BoundTo, Demand.perSecond(Now));
@@ -96,13 +98,14 @@
 }
 
 void DispatchSteering::updateRegionSplits(const FleetDemand &Fleet,
-                                     base::TimePoint Now) {
+                                          base::TimePoint Now) {
   for (auto &[Id, Service] : Services_) {
     if (Service.Targets_.empty())
       continue;
     std::map<base::RegionId, RegionLoad> Loads;
     for (const TargetState &Target : Service.Targets_)
-      if (!Target.Evacuated_ && !Target.Record_.Leaving_ && !Target.Health_.isEjected(Now))
+      if (!Target.Evacuated_ && !Target.Record_.Leaving_ &&
+          !Target.Health_.isEjected(Now))
         Loads[Target.Region_].Slots_ += Target.Record_.Slots_;
     addDemands(Id, Service, Fleet, Now, Loads);
     Service.RegionSplit_.update(Loads, Now);
@@ -125,8 +128,8 @@
   std::vector<members::RuleExecutionTimes> Result;
   for (const auto &[Rule, Times] : ExecutionTimes_)
     if (Times.isKnown() && Result.size() < members::MaxRuleExecutionTimes)
-      Result.push_back(
-          {Rule, Times.warmSeconds(), Times.coldSeconds(), Times.meanSeconds()});
+      Result.push_back({Rule, Times.warmSeconds(), Times.coldSeconds(),
+                        Times.meanSeconds()});
   return Result;
 }
 
@@ -136,7 +139,7 @@
   for (const members::RuleExecutionTimes &Entry : Announced)
     if (Entry.WarmSeconds_ > 0)
       ExecutionTimes_[Entry.Rule_].adopt(Entry.WarmSeconds_, Entry.ColdSeconds_,
-                               Entry.UsualSeconds_);
+                                         Entry.UsualSeconds_);
 }
 
 std::vector<members::CustomerDemand>
--- a/libs/dispatch/ExecutionTimes.cpp
+++ b/libs/dispatch/ExecutionTimes.cpp
@@ -16,10 +16,10 @@
 
 void ExecutionTimes::RunningMean::add(double Seconds) noexcept {
   ++Count_;
-  const double Bounded =
-      Count_ > OutlierBoundAfter
-          ? std::clamp(Seconds, Seconds_ / MaxOutlierFactor, Seconds_ * MaxOutlierFactor)
-          : Seconds;
+  const double Bounded = Count_ > OutlierBoundAfter
+                             ? std::clamp(Seconds, Seconds_ / MaxOutlierFactor,
+                                          Seconds_ * MaxOutlierFactor)
+                             : Seconds;
   Seconds_ += std::max(MinWeight, 1.0 / Count_) * (Bounded - Seconds_);
 }
 
--- a/libs/dispatch/LoadEstimate.h
+++ b/libs/dispatch/LoadEstimate.h
@@ -38,14 +38,16 @@
 
   /// Takes a load report of the target. It includes own requests, except for
   /// the one just answered.
-  void recordReport(const steering::TargetLoad &Load, base::TimePoint Now) noexcept;
+  void recordReport(const steering::TargetLoad &Load,
+                    base::TimePoint Now) noexcept;
 
   /// The target refused a request because it is full: its \p Slots slots and
   /// its queue are taken.
   void recordRefusal(std::uint32_t Slots, base::TimePoint Now) noexcept;
 
   /// \returns the estimated number of requests at the target.
-  double estimate(const BaselineLoad &Baseline, base::TimePoint Now) const noexcept;
+  double estimate(const BaselineLoad &Baseline,
+                  base::TimePoint Now) const noexcept;
 
   /// \returns the time since the target last reported its load or refused as
   /// full; nothing: it has done neither.
--- a/libs/dispatch/RecentObjects.cpp
+++ b/libs/dispatch/RecentObjects.cpp
@@ -23,11 +23,12 @@
 }
 
 bool RecentObjects::contains(std::uint64_t Object,
-                        base::TimePoint Now) const noexcept {
-  return std::any_of(
-      Entries_.begin(), Entries_.end(), [Object, Now](const Entry &Recent) {
-        return Recent.Object_ == Object && Now - Recent.LastUsed_ < RetentionTime;
-      });
+                             base::TimePoint Now) const noexcept {
+  return std::any_of(Entries_.begin(), Entries_.end(),
+                     [Object, Now](const Entry &Recent) {
+                       return Recent.Object_ == Object &&
+                              Now - Recent.LastUsed_ < RetentionTime;
+                     });
 }
 
 } // namespace lychee::dispatch
--- a/libs/dispatch/RegionLoads.cpp
+++ b/libs/dispatch/RegionLoads.cpp
@@ -7,8 +7,8 @@
 
 namespace lychee::dispatch {
 
-void RegionLoads::recordReport(const base::RegionId &Region, double OthersPerSlot,
-                           base::TimePoint Now) {
+void RegionLoads::recordReport(const base::RegionId &Region,
+                               double OthersPerSlot, base::TimePoint Now) {
   ReportedLoad &Load = Regions_[Region];
   Load.Loads_.add(OthersPerSlot, Now);
   Load.Count_.add(1, Now);
@@ -24,7 +24,7 @@
     return 0;
   const ReportedLoad &Load = Found->second;
   const double HalfLife = std::max(1.0, Load.Mean_) *
-                           std::max(RunSeconds, ExecutionTimes::MinRunSeconds);
+                          std::max(RunSeconds, ExecutionTimes::MinRunSeconds);
   const double Age = base::toSeconds(Now - Load.ReportedAt_);
   return Load.Mean_ * std::exp2(-Age / HalfLife);
 }
--- a/libs/dispatch/RegionLoads.h
+++ b/libs/dispatch/RegionLoads.h
@@ -22,7 +22,7 @@
 public:
   /// \param OthersPerSlot  requests of other hosts per slot.
   void recordReport(const base::RegionId &Region, double OthersPerSlot,
-                base::TimePoint Now);
+                    base::TimePoint Now);
 
   /// \returns the mean of the last seconds, which decays while no report
   /// arrives: a region that gets no more requests works off those it has.
--- a/libs/dispatch/RegionSplit.cpp
+++ b/libs/dispatch/RegionSplit.cpp
@@ -28,8 +28,8 @@
 /// \returns the slots that bound requests leave to those that may run in any
 /// region.
 double freeSlots(const RegionLoad &Load) noexcept {
-  return std::max(0.0,
-                  Load.Slots_ - Load.BoundDemand_ / RegionSplit::BoundUtilization);
+  return std::max(0.0, Load.Slots_ -
+                           Load.BoundDemand_ / RegionSplit::BoundUtilization);
 }
 
 double totalOf(const std::map<base::RegionId, double> &Parts) {
@@ -41,8 +41,8 @@
 
 } // namespace
 
-RegionSplit::DesiredSplit
-RegionSplit::computeDesired(const std::map<base::RegionId, RegionLoad> &Loads) const {
+RegionSplit::DesiredSplit RegionSplit::computeDesired(
+    const std::map<base::RegionId, RegionLoad> &Loads) const {
   double Slots = 0;
   double Demand = 0;
   for (const auto &[Region, Load] : Loads) {
@@ -57,12 +57,14 @@
   // to be needed.
   const bool HasDemand = Demand > 0;
   const double EvenDemand = Slots / static_cast<double>(Loads.size());
-  const double MaxUtilization = HasDemand ? std::max(LocalUtilization, Demand / Slots) : 1.0;
+  const double MaxUtilization =
+      HasDemand ? std::max(LocalUtilization, Demand / Slots) : 1.0;
   for (const auto &[Region, Load] : Loads) {
     const double RegionDemand = HasDemand ? Load.Demand_ : EvenDemand;
     const double Spare = MaxUtilization * freeSlots(Load) - RegionDemand;
     if (Region == OwnRegion_)
-      Result.SpilloverShare_ = RegionDemand > 0 ? std::clamp(-Spare / RegionDemand, 0.0, 1.0) : 0;
+      Result.SpilloverShare_ =
+          RegionDemand > 0 ? std::clamp(-Spare / RegionDemand, 0.0, 1.0) : 0;
     else if (Spare > 0)
       Result.SpareSlots_[Region] = Spare;
   }
@@ -92,9 +94,11 @@
   if (IsLargeChange)
     FastUntil_ = Now + FastChangeTime;
   const double Step =
-      base::toSeconds(Now - *UpdatedAt_) * (Now < FastUntil_ ? MaxFastChangePerSecond : MaxChangePerSecond);
+      base::toSeconds(Now - *UpdatedAt_) *
+      (Now < FastUntil_ ? MaxFastChangePerSecond : MaxChangePerSecond);
   UpdatedAt_ = Now;
-  SpilloverShare_ += std::clamp(Desired.SpilloverShare_ - SpilloverShare_, -Step, Step);
+  SpilloverShare_ +=
+      std::clamp(Desired.SpilloverShare_ - SpilloverShare_, -Step, Step);
   // The destinations change at the same pace. A region without free slots is
   // left to the load estimates of its targets.
   const double Sum = totalOf(Desired.SpareSlots_);
@@ -106,9 +110,13 @@
     if (Region == OwnRegion_)
       continue;
     const auto Found = Desired.SpareSlots_.find(Region);
-    const double DesiredWeight = Found == Desired.SpareSlots_.end() ? 0 : Found->second / Sum;
-    const double OldWeight = SpilloverWeights_.contains(Region) ? SpilloverWeights_[Region] / OldSum : DesiredWeight;
-    NewWeights[Region] = OldWeight + std::clamp(DesiredWeight - OldWeight, -Step, Step);
+    const double DesiredWeight =
+        Found == Desired.SpareSlots_.end() ? 0 : Found->second / Sum;
+    const double OldWeight = SpilloverWeights_.contains(Region)
+                                 ? SpilloverWeights_[Region] / OldSum
+                                 : DesiredWeight;
+    NewWeights[Region] =
+        OldWeight + std::clamp(DesiredWeight - OldWeight, -Step, Step);
   }
   SpilloverWeights_ = std::move(NewWeights);
 }
--- a/libs/dispatch/RegionSplit.h
+++ b/libs/dispatch/RegionSplit.h
@@ -60,7 +60,8 @@
   static constexpr double LargeBodyFactor = 0.5;
   static constexpr std::uint64_t LargeBodyBytes = 16UL * 1024;
 
-  explicit RegionSplit(base::RegionId OwnRegion) : OwnRegion_(std::move(OwnRegion)) {}
+  explicit RegionSplit(base::RegionId OwnRegion)
+      : OwnRegion_(std::move(OwnRegion)) {}
 
   /// Takes slots and demand of all regions. To be called every 250 ms.
   void update(const std::map<base::RegionId, RegionLoad> &Loads,
@@ -80,7 +81,8 @@
     std::map<base::RegionId, double> SpareSlots_;
   };
 
-  DesiredSplit computeDesired(const std::map<base::RegionId, RegionLoad> &Loads) const;
+  DesiredSplit
+  computeDesired(const std::map<base::RegionId, RegionLoad> &Loads) const;
 
   const base::RegionId OwnRegion_;
   double SpilloverShare_ = 0;
--- a/libs/dispatch/RendezvousHash.cpp
+++ b/libs/dispatch/RendezvousHash.cpp
@@ -19,7 +19,7 @@
 } // namespace
 
 double rendezvousScore(std::uint64_t Object, std::uint64_t Target,
-               double Weight) noexcept {
+                       double Weight) noexcept {
   constexpr double Unit = 0x1.0p-53;
   const std::uint64_t Bits = mixBits(Object ^ mixBits(Target));
   const double Uniform = (static_cast<double>(Bits >> 11) + 0.5) * Unit;
--- a/libs/dispatch/RendezvousHash.h
+++ b/libs/dispatch/RendezvousHash.h
@@ -18,7 +18,7 @@
 /// \returns the score; the target with the highest one ranks first for the
 /// object.
 double rendezvousScore(std::uint64_t Object, std::uint64_t Target,
-               double Weight) noexcept;
+                       double Weight) noexcept;
 
 } // namespace lychee::dispatch
 
--- a/libs/dispatch/TargetChooser.cpp
+++ b/libs/dispatch/TargetChooser.cpp
@@ -26,18 +26,20 @@
 /// the usual one: it takes twice as long.
 constexpr double ColdStartSlowdown = 1;
 
-bool contains(std::span<const base::TargetId> Targets, const base::TargetId &Target) {
+bool contains(std::span<const base::TargetId> Targets,
+              const base::TargetId &Target) {
   return std::find(Targets.begin(), Targets.end(), Target) != Targets.end();
 }
 
 bool mayServe(const ChoiceQuery &Query, const TargetState &Target,
               base::TimePoint Now) {
   if (Target.Record_.Leaving_ || Target.Evacuated_ || Target.AddressReused_ ||
-      Target.Health_.isEjected(Now) || contains(Query.TriedTargets_, Target.Record_.Id_))
+      Target.Health_.isEjected(Now) ||
+      contains(Query.TriedTargets_, Target.Record_.Id_))
     return false;
   return Query.Homes_ == nullptr ||
-         std::find(Query.Homes_->begin(), Query.Homes_->end(), Target.Region_) !=
-             Query.Homes_->end();
+         std::find(Query.Homes_->begin(), Query.Homes_->end(),
+                   Target.Region_) != Query.Homes_->end();
 }
 
 bool needsProbe(const TargetState &Target, base::TimePoint Now) {
@@ -53,8 +55,10 @@
   Ranked.reserve(Targets.size());
   for (TargetState &Current : Targets)
     if (mayServe(Query, Current, Now))
-      Ranked.push_back(
-          {&Current, rendezvousScore(Query.Object_, Current.Hash_, Current.Record_.Slots_), 0});
+      Ranked.push_back({&Current,
+                        rendezvousScore(Query.Object_, Current.Hash_,
+                                        Current.Record_.Slots_),
+                        0});
   std::sort(Ranked.begin(), Ranked.end(),
             [](const Candidate &Left, const Candidate &Right) {
               return Left.Score_ > Right.Score_;
@@ -62,8 +66,8 @@
   // Each region has an order of its own, so that an object is warm in each.
   std::vector<std::pair<const base::RegionId *, std::size_t>> RankCounts;
   for (Candidate &Current : Ranked) {
-    const auto Found =
-        std::find_if(RankCounts.begin(), RankCounts.end(), [&Current](const auto &Entry) {
+    const auto Found = std::find_if(
+        RankCounts.begin(), RankCounts.end(), [&Current](const auto &Entry) {
           return *Entry.first == Current.Target_->Region_;
         });
     if (Found == RankCounts.end())
@@ -75,48 +79,57 @@
 }
 
 /// \returns the probability that the run is cold, 0 to 1.
-double TargetChooser::coldProbability(const ChoiceQuery &Query, const Candidate &Evaluated,
-                                base::TimePoint Now) const {
+double TargetChooser::coldProbability(const ChoiceQuery &Query,
+                                      const Candidate &Evaluated,
+                                      base::TimePoint Now) const {
   if (Evaluated.Target_->RecentObjects_.contains(Query.Object_, Now))
     return Evaluated.Rank_ == 0 ? 0 : KnownSecondRankColdProbability;
-  if (Evaluated.Target_->Region_ != Query.Region_ || Evaluated.Rank_ >= WarmRanks)
+  if (Evaluated.Target_->Region_ != Query.Region_ ||
+      Evaluated.Rank_ >= WarmRanks)
     return 1;
   return Evaluated.Rank_ == 0 ? 0 : SecondRankColdProbability;
 }
 
 double TargetChooser::estimatedLoad(const ChoiceQuery &Query,
-                             const TargetState &Target, base::TimePoint Now) {
+                                    const TargetState &Target,
+                                    base::TimePoint Now) {
   BaselineLoad Baseline;
   Baseline.RunSeconds_ = Query.ExecutionTimes_.meanSeconds();
   if (Query.RegionLoads_ != nullptr)
-    Baseline.OtherRequests_ =
-        Query.RegionLoads_->othersPerSlot(Target.Region_, Baseline.RunSeconds_, Now) *
-        Target.Record_.Slots_;
+    Baseline.OtherRequests_ = Query.RegionLoads_->othersPerSlot(
+                                  Target.Region_, Baseline.RunSeconds_, Now) *
+                              Target.Record_.Slots_;
   return Target.Load_.estimate(Baseline, Now);
 }
 
-Choice TargetChooser::evaluate(const ChoiceQuery &Query, const Candidate &Evaluated,
-                             base::TimePoint Now) const {
+Choice TargetChooser::evaluate(const ChoiceQuery &Query,
+                               const Candidate &Evaluated,
+                               base::TimePoint Now) const {
   const TargetState &Target = *Evaluated.Target_;
   const double MeanRun = Query.ExecutionTimes_.meanSeconds();
   const double Slots = std::max(1U, Target.Record_.Slots_);
   const double Load = estimatedLoad(Query, Target, Now);
   const double Ahead = std::max(0.0, Load + 1 - Slots);
   const double Waiting = Ahead / Slots * MeanRun * Target.Slowness_;
-  const double WarmGain = Query.ExecutionTimes_.coldSeconds() - Query.ExecutionTimes_.warmSeconds();
-  const double ExpectedColdTime = coldProbability(Query, Evaluated, Now) * WarmGain;
-  const double ColdCost = Query.ExecutionTimes_.coldSeconds() + WarmGain * ColdRunPenalty;
+  const double WarmGain =
+      Query.ExecutionTimes_.coldSeconds() - Query.ExecutionTimes_.warmSeconds();
+  const double ExpectedColdTime =
+      coldProbability(Query, Evaluated, Now) * WarmGain;
+  const double ColdCost =
+      Query.ExecutionTimes_.coldSeconds() + WarmGain * ColdRunPenalty;
   const double StartSlowdown = Now < Target.ColdUntil_ ? ColdStartSlowdown : 0;
-  const double Run = (Query.ExecutionTimes_.warmSeconds() + ExpectedColdTime) * Target.Slowness_;
+  const double Run = (Query.ExecutionTimes_.warmSeconds() + ExpectedColdTime) *
+                     Target.Slowness_;
   double Time = Waiting + Run * (1 + StartSlowdown);
-  double Penalty = ExpectedColdTime * ColdRunPenalty +
-                 MeanRun * FailurePenalty * Target.Health_.failureShare() +
-                 ColdCost * ExcessFailurePenalty * Target.Health_.excessFailureShare();
+  double Penalty =
+      ExpectedColdTime * ColdRunPenalty +
+      MeanRun * FailurePenalty * Target.Health_.failureShare() +
+      ColdCost * ExcessFailurePenalty * Target.Health_.excessFailureShare();
   if (Target.Region_ != Region_) {
     Time += base::toSeconds(RegionRoundTrip);
     Penalty += base::toSeconds(CrossRegionPenalty) +
-             base::toSeconds(CrossRegionPenaltyPerKilobyte) *
-                 static_cast<double>(Query.BodyBytes_) / 1024;
+               base::toSeconds(CrossRegionPenaltyPerKilobyte) *
+                   static_cast<double>(Query.BodyBytes_) / 1024;
   } else if (Target.Record_.Zone_ != Zone_) {
     Penalty += base::toSeconds(CrossZonePenalty);
   }
--- a/libs/dispatch/TargetChooser.h
+++ b/libs/dispatch/TargetChooser.h
@@ -1,9 +1,9 @@
 #ifndef LYCHEE_DISPATCH_TARGETCHOOSER_H
 #define LYCHEE_DISPATCH_TARGETCHOOSER_H
 
+#include "dispatch/ExecutionTimes.h"
 #include "dispatch/RegionLoads.h"
 #include "dispatch/TargetState.h"
-#include "dispatch/ExecutionTimes.h"
 
 #include <functional>
 #include <optional>
@@ -79,11 +79,14 @@
   /// not know: other hosts may have warmed it.
   static constexpr double SecondRankColdProbability = 0.8;
   /// Round trip between regions: 20 ms each way, as deployments state.
-  static constexpr base::Duration RegionRoundTrip = std::chrono::milliseconds(40);
+  static constexpr base::Duration RegionRoundTrip =
+      std::chrono::milliseconds(40);
   /// Penalties for crossing availability zones and regions, expressed as time:
   /// traffic is paid for by the byte, and links are shared.
-  static constexpr base::Duration CrossZonePenalty = std::chrono::milliseconds(4);
-  static constexpr base::Duration CrossRegionPenalty = std::chrono::milliseconds(10);
+  static constexpr base::Duration CrossZonePenalty =
+      std::chrono::milliseconds(4);
+  static constexpr base::Duration CrossRegionPenalty =
+      std::chrono::milliseconds(10);
   static constexpr base::Duration CrossRegionPenaltyPerKilobyte =
       std::chrono::milliseconds(1);
 
@@ -114,11 +117,11 @@
                               std::span<TargetState> Targets,
                               base::TimePoint Now) const;
   double coldProbability(const ChoiceQuery &Query, const Candidate &Evaluated,
-                   base::TimePoint Now) const;
-  static double estimatedLoad(const ChoiceQuery &Query, const TargetState &Target,
-                       base::TimePoint Now);
+                         base::TimePoint Now) const;
+  static double estimatedLoad(const ChoiceQuery &Query,
+                              const TargetState &Target, base::TimePoint Now);
   Choice evaluate(const ChoiceQuery &Query, const Candidate &Evaluated,
-                base::TimePoint Now) const;
+                  base::TimePoint Now) const;
 
   const base::RegionId Region_;
   const base::ZoneId Zone_;
--- a/libs/dispatch/TargetHealth.cpp
+++ b/libs/dispatch/TargetHealth.cpp
@@ -44,8 +44,8 @@
 }
 
 double TargetHealth::excessFailureShare() const noexcept {
-  return std::max(
-      {0.0, FailureShare_ - ToleratedFailureShare, RefusalShare_ - ToleratedRefusalShare});
+  return std::max({0.0, FailureShare_ - ToleratedFailureShare,
+                   RefusalShare_ - ToleratedRefusalShare});
 }
 
 } // namespace lychee::dispatch
--- a/libs/dispatch/TargetHealth.h
+++ b/libs/dispatch/TargetHealth.h
@@ -32,7 +32,8 @@
 public:
   /// Ejection time after a failed connect, doubled with each further one up to
   /// MaxEjectionTime.
-  static constexpr base::Duration BaseEjectionTime = std::chrono::milliseconds(700);
+  static constexpr base::Duration BaseEjectionTime =
+      std::chrono::milliseconds(700);
   static constexpr base::Duration MaxEjectionTime = std::chrono::seconds(3);
   /// Consecutive failures that eject a target: where one request in twenty
   /// loses its answer, three in a row happen once in 8,000 by chance.
@@ -40,7 +41,8 @@
   /// Time after which a restart would show in the target's entry. The platform
   /// drops a silent target's entry after three heartbeats of 1.5 s; the rest is
   /// for the propagation to this host. \see live::TargetRegistry::HearingTime
-  static constexpr base::Duration RestartDetectionTime = std::chrono::seconds(6);
+  static constexpr base::Duration RestartDetectionTime =
+      std::chrono::seconds(6);
   /// Share of failed requests beyond which a target loses its objects: retries
   /// are bounded to a fifth of all requests.
   static constexpr double ToleratedFailureShare = 0.25;
@@ -59,7 +61,9 @@
   /// It refused a request although it should have a free slot.
   void recordRefusal() noexcept;
 
-  bool isEjected(base::TimePoint Now) const noexcept { return Now < EjectedUntil_; }
+  bool isEjected(base::TimePoint Now) const noexcept {
+    return Now < EjectedUntil_;
+  }
   /// \returns whether it may have restarted: a single host probes it.
   bool isOnProbation(base::TimePoint Now) const noexcept {
     return mayHaveRestarted(Now) || Now < ProbationUntil_;
--- a/libs/dispatch/TargetState.h
+++ b/libs/dispatch/TargetState.h
@@ -3,8 +3,8 @@
 
 #include "dispatch/ColdTargetRateLimiter.h"
 #include "dispatch/LoadEstimate.h"
-#include "dispatch/TargetHealth.h"
 #include "dispatch/RecentObjects.h"
+#include "dispatch/TargetHealth.h"
 #include "live/TargetRecord.h"
 
 namespace lychee::dispatch {
--- a/tests/dispatch/CustomerRateLimiterTest.cpp
+++ b/tests/dispatch/CustomerRateLimiterTest.cpp
@@ -32,7 +32,8 @@
 
   /// \param DeltaHeartbeats  heartbeats hold changes of demand only, as where
   /// there are many customers.
-  Fleet(std::size_t Count, double Rate, double Burst, bool DeltaHeartbeats = false) {
+  Fleet(std::size_t Count, double Rate, double Burst,
+        bool DeltaHeartbeats = false) {
     Bounds_.RateOverage_ = 0.1;
     Bounds_.RateSlack_ = 20;
     Rule_.Id_ = Customer;
@@ -53,7 +54,8 @@
   void setRemoteDelay(base::Duration Delay) { RemoteDelay_ = Delay; }
 
   void announce() {
-    const bool IsFull = ++HeartbeatCount_ % members::DemandDeltaEncoder::FullEvery == 0;
+    const bool IsFull =
+        ++HeartbeatCount_ % members::DemandDeltaEncoder::FullEvery == 0;
     for (std::size_t Host = 0; Host < Hosts_.size(); ++Host) {
       if (DownSince_[Host])
         continue;
@@ -99,10 +101,12 @@
       return std::nullopt;
     if (Decision.Kind_ == RateLimitDecision::Kind::Denied)
       return Decision.RetryAfter_;
-    for (const std::string &Address : {Decision.Owner_, Decision.BackupOwner_}) {
+    for (const std::string &Address :
+         {Decision.Owner_, Decision.BackupOwner_}) {
       if (Address.empty() || DownSince_[std::stoul(Address)])
         continue;
-      const auto Answer = Hosts_[std::stoul(Address)]->takeForPeer(Customer, Now_);
+      const auto Answer =
+          Hosts_[std::stoul(Address)]->takeForPeer(Customer, Now_);
       // What the owner granted is spent, also where its response comes too
       // late.
       if (LateResponses_ <= 0 || base::drawUnit(Random_) >= LateResponses_)
@@ -449,7 +453,8 @@
     if (Step == 1020)
       Allowed = 0;
     if (Step % 2 == 0)
-      Allowed += Owner.take(Customer, Now).Kind_ == RateLimitDecision::Kind::Allowed;
+      Allowed +=
+          Owner.take(Customer, Now).Kind_ == RateLimitDecision::Kind::Allowed;
   }
   // One ninth of the demand was its own: 10 per second of the 90, for 4.8 s,
   // plus what is left in its bucket.
--- a/tests/dispatch/DispatchSimulationTest.cpp
+++ b/tests/dispatch/DispatchSimulationTest.cpp
@@ -200,7 +200,8 @@
       end(Current, SendOutcome::Shed, Server);
       return;
     }
-    schedule(Current->Arrived_ + Load_.Deadline_, [this, Current, &Server] { expire(Current, Server); });
+    schedule(Current->Arrived_ + Load_.Deadline_,
+             [this, Current, &Server] { expire(Current, Server); });
     Server.Waiting_.push_back(Current);
     startRuns(Server);
   }
@@ -214,21 +215,25 @@
       ++Server.Running_;
       const double Spread = 0.85 + 0.3 * base::drawUnit(Random_);
       const double Work =
-          (useObject(Server, Current->Object_) ? Load_.WarmSeconds_ : Load_.ColdSeconds_) * Server.Slowdown_;
-      schedule(Now_ + base::fromSeconds(Work * Spread), [this, Current, &Server] {
-        --Server.Running_;
-        if (Current->Ended_)
-          ++Result_.WastedRuns_;
-        else
-          end(Current, SendOutcome::Answered, Server);
-        startRuns(Server);
-      });
+          (useObject(Server, Current->Object_) ? Load_.WarmSeconds_
+                                               : Load_.ColdSeconds_) *
+          Server.Slowdown_;
+      schedule(Now_ + base::fromSeconds(Work * Spread),
+               [this, Current, &Server] {
+                 --Server.Running_;
+                 if (Current->Ended_)
+                   ++Result_.WastedRuns_;
+                 else
+                   end(Current, SendOutcome::Answered, Server);
+                 startRuns(Server);
+               });
     }
   }
 
   /// \returns whether the target was warm for the object.
   bool useObject(Target &Server, std::uint64_t Object) {
-    const auto Found = std::find(Server.CachedObjects_.begin(), Server.CachedObjects_.end(), Object);
+    const auto Found = std::find(Server.CachedObjects_.begin(),
+                                 Server.CachedObjects_.end(), Object);
     const bool Warm = Found != Server.CachedObjects_.end();
     if (Warm)
       Server.CachedObjects_.erase(Found);
@@ -265,7 +270,7 @@
     Current->Ended_ = true;
     if (Outcome == SendOutcome::Answered)
       ++(Now_ - Current->Arrived_ <= Load_.Objective_ ? Result_.InTime_
-                                                  : Result_.Late_);
+                                                      : Result_.Late_);
   }
 
   SimulatedLoad Load_;
@@ -371,7 +376,8 @@
 
 /// A third of a large deployment: each host receives a report of a target every
 /// third second, and runs take half a second warm.
-TEST_GROUP(LargeDispatchSimulation){static SimulatedLoad large(){SimulatedLoad Result;
+TEST_GROUP(LargeDispatchSimulation){
+    static SimulatedLoad large(){SimulatedLoad Result;
 Result.Hosts_ = 21;
 Result.Targets_ = 93;
 Result.Slots_ = 9;
--- a/tests/dispatch/DispatchSteeringTest.cpp
+++ b/tests/dispatch/DispatchSteeringTest.cpp
@@ -42,7 +42,8 @@
     live::KnownTarget Result;
     Result.Record_.Id_ = base::TargetId(Name);
     Result.Record_.Service_ = base::ServiceId("portal");
-    Result.Record_.Address_ = "127.0.0.1:" + std::to_string(Targets_.size() + 80);
+    Result.Record_.Address_ =
+        "127.0.0.1:" + std::to_string(Targets_.size() + 80);
     Result.Record_.Zone_ = base::ZoneId("north-a");
     Result.Record_.Slots_ = 3;
     Result.Record_.Started_ = 1;
@@ -64,7 +65,9 @@
     Result.Fingerprint_ = 7;
     return Result;
   }
-  Decision arrive(const Request &Incoming) { return Steering_.arrive(Incoming, Now_); }
+  Decision arrive(const Request &Incoming) {
+    return Steering_.arrive(Incoming, Now_);
+  }
   Decision finish(const Decision &Sent, SendOutcome End, int Status = 0,
                   bool Silent = false) {
     SendReport Report;
--- a/tests/dispatch/ExecutionTimesTest.cpp
+++ b/tests/dispatch/ExecutionTimesTest.cpp
@@ -16,7 +16,8 @@
   }
   DOUBLES_EQUAL(3.5, ExecutionTimes_.coldSeconds(), 0.01);
   DOUBLES_EQUAL(1.05, ExecutionTimes_.warmSeconds(), 0.01);
-  CHECK(ExecutionTimes_.meanSeconds() > 1.5 && ExecutionTimes_.meanSeconds() < 3);
+  CHECK(ExecutionTimes_.meanSeconds() > 1.5 &&
+        ExecutionTimes_.meanSeconds() < 3);
 }
 
 // Another host warmed the target, which this one does not know.
--- a/tests/dispatch/RegionSplitTest.cpp
+++ b/tests/dispatch/RegionSplitTest.cpp
@@ -28,7 +28,7 @@
     }
   }
   double shareIn(const base::RegionId &Region, std::uint64_t BodyBytes = 0,
-                const std::vector<base::RegionId> *Homes = nullptr) const {
+                 const std::vector<base::RegionId> *Homes = nullptr) const {
     int Hits = 0;
     for (std::uint64_t Object = 1; Object <= 4000; ++Object)
       Hits += RegionSplit_.regionFor(Object * 7919, BodyBytes, Homes) == Region;
@@ -85,7 +85,8 @@
   Loads_[Small].Demand_ = 14;
   const double Before = RegionSplit_.spilloverShare();
   advance(2s);
-  CHECK(RegionSplit_.spilloverShare() - Before <= 2 * RegionSplit::MaxChangePerSecond + 0.001);
+  CHECK(RegionSplit_.spilloverShare() - Before <=
+        2 * RegionSplit::MaxChangePerSecond + 0.001);
   CHECK(RegionSplit_.spilloverShare() > Before);
 }
 
@@ -111,7 +112,8 @@
   advance(30s);
   int Moved = 0;
   for (std::uint64_t Object = 1; Object <= 1000; ++Object)
-    Moved += RegionSplit_.regionFor(Object * 7919, 0, nullptr) != Before[Object - 1];
+    Moved +=
+        RegionSplit_.regionFor(Object * 7919, 0, nullptr) != Before[Object - 1];
   CHECK(Moved <= (RegionSplit_.spilloverShare() - Old) * 1000 * 1.5 + 20);
 }
 
--- a/tests/dispatch/SmallDecisionsTest.cpp
+++ b/tests/dispatch/SmallDecisionsTest.cpp
@@ -80,7 +80,8 @@
 // lost all targets refused every request until it was restarted.
 TEST(TargetHealth, aTargetWhoseEntryPersistsLeavesProbation) {
   Health_.recordConnectFailure(Now_);
-  CHECK(Health_.isOnProbation(Now_ + dispatch::TargetHealth::RestartDetectionTime - 1ms));
+  CHECK(Health_.isOnProbation(
+      Now_ + dispatch::TargetHealth::RestartDetectionTime - 1ms));
   Now_ += dispatch::TargetHealth::RestartDetectionTime;
   CHECK_FALSE(Health_.isOnProbation(Now_));
   Health_.recordAnswer(Now_);
@@ -97,7 +98,8 @@
   CHECK(Health_.isOnProbation(Now_));
   Health_.recordAnswer(Now_);
   CHECK(Health_.isOnProbation(Now_ + 1s));
-  CHECK_FALSE(Health_.isOnProbation(Now_ + dispatch::TargetHealth::ProbationTime));
+  CHECK_FALSE(
+      Health_.isOnProbation(Now_ + dispatch::TargetHealth::ProbationTime));
 }
 
 // One answer in twenty is lost on the way. The target is healthy.
@@ -112,8 +114,8 @@
 }
 
 TEST(TargetHealth, consecutiveFailuresEjectATarget) {
-  for (std::uint32_t Index = 0; Index < dispatch::TargetHealth::MaxConsecutiveFailures;
-       ++Index)
+  for (std::uint32_t Index = 0;
+       Index < dispatch::TargetHealth::MaxConsecutiveFailures; ++Index)
     Health_.recordFailure(Now_);
   CHECK(Health_.isEjected(Now_));
 }
--- a/tests/dispatch/TargetChooserTest.cpp
+++ b/tests/dispatch/TargetChooserTest.cpp
@@ -157,7 +157,8 @@
   dispatch::RecentObjects Memory;
   Memory.record(1, Now_);
   CHECK(Memory.contains(1, Now_ + 10s));
-  CHECK_FALSE(Memory.contains(1, Now_ + dispatch::RecentObjects::RetentionTime));
+  CHECK_FALSE(
+      Memory.contains(1, Now_ + dispatch::RecentObjects::RetentionTime));
   for (std::uint64_t Object = 2; Object <= 33; ++Object)
     Memory.record(Object, Now_ + 1s);
   CHECK_FALSE(Memory.contains(1, Now_ + 1s));
