--- a/libs/dispatch/TargetHealth.h
+++ b/libs/dispatch/TargetHealth.h
@@ -40,7 +40,8 @@
   static constexpr std::uint32_t MaxConsecutiveFailures = 3;
   /// Time after which a restart would show in the target's entry. The platform
   /// drops a silent target's entry after three heartbeats of 1.5 s; the rest is
-  /// for the propagation to this host. \see live::TargetRegistry::HearingTime
+  /// for the propagation to this host. \see
+  /// live::TargetRegistry::PropagationTime
   static constexpr base::Duration RestartDetectionTime =
       std::chrono::seconds(6);
   /// Share of failed requests beyond which a target loses its objects: retries
--- a/libs/members/DemandDeltaEncoder.h
+++ b/libs/members/DemandDeltaEncoder.h
@@ -26,8 +26,8 @@
 ///
 /// Late updates have a cost, because hosts then divide a rate by demands of
 /// different age. Small sets of customers are therefore always sent in full
-/// (RateDivisionTest: of a small customer's requests within its rate, 3.0 in
-/// 100 are refused with full updates and 3.5 with deltas).
+/// (CustomerRateLimiterTest: of a small customer's requests within its
+/// rate, 3.0 in 100 are refused with full updates and 3.5 with deltas).
 class DemandDeltaEncoder {
 public:
   /// Smallest change that is sent: MinChange requests per second plus
